--- a/bench/model/_disruptions.py
+++ b/bench/model/_disruptions.py
@@ -80,13 +80,13 @@
 
     def _new(self, zone, place) -> Instance:
         instance = self._start(zone, place)
-        instance.policy.share_with(len(self.instances), place)
+        instance.policy.set_instances(len(self.instances), place)
         instance.policy.update(self.service, self._records, self.clock.now)
         return instance
 
     def _share_out(self):
         for instance in self.instances:
-            instance.policy.share_with(len(self.instances), instance.place)
+            instance.policy.set_instances(len(self.instances), instance.place)
 
 
 def excess_of_repeats(
--- a/bench/model/_fleet.py
+++ b/bench/model/_fleet.py
@@ -1,7 +1,7 @@
 """Model of many daemons in simulated time: members, news of a table, who watches.
 
-The parts are the daemon's own (`Cluster`, `Gossip`, `WatchDuty`, `TableCopy`); calls go
-straight from one to the other, and the clock is the model's.
+The parts are the daemon's own (`Cluster`, `Gossip`, `WatcherRole`, `TableReplica`);
+calls go straight from one to the other, and the clock is the model's.
 """
 
 import collections
@@ -20,21 +20,21 @@
     Member,
     Membership,
     MemberState,
-    NoteBoard,
+    NoteRegistry,
     Row,
-    TableCopy,
+    TableReplica,
     era_of,
     stamp,
     version_of,
 )
-from cairnferry.entry.callers import Guard, suspicion_board
-from cairnferry.entry.members import Cluster, Gossip, PermitGivers, WatchDuty
-from cairnferry.entry.members._cluster import Listed
-from cairnferry.entry.members._duty import SETTLE_S
+from cairnferry.entry.callers import CrashGuard, quarantine_board
+from cairnferry.entry.members import Cluster, Gossip, PermitIssuers, WatcherRole
+from cairnferry.entry.members._cluster import ListedInstance
+from cairnferry.entry.members._watcher_role import SETTLE_S
 from cairnferry.entry.targets import (
     Limiter,
-    PermitAsking,
-    PermitGiving,
+    LocalPermitIssuer,
+    PermitRequester,
     Services,
     limit_board,
 )
@@ -103,15 +103,15 @@
 class SharedCopy:
     """A copy that notes when it got which version."""
 
-    copy: TableCopy = attrs.field(factory=TableCopy)
+    copy: TableReplica = attrs.field(factory=TableReplica)
     grace_left: float = 0.0
 
     def hold_for(self, seconds: float) -> None:
         """Hold nothing: no outage of writers is modelled."""
 
-    def take_news(self, news) -> bool:
+    def apply_update(self, news) -> bool:
         """Take in what another daemon told."""
-        return self.copy.take_news(news)
+        return self.copy.apply_update(news)
 
 
 class _Rules:
@@ -127,12 +127,12 @@
     zone: str
     cluster: Cluster
     gossip: Gossip
-    duty: WatchDuty
+    duty: WatcherRole
     table: SharedCopy
-    guard: Guard
+    guard: CrashGuard
     services: Services
     limiter: Limiter
-    permits: PermitAsking
+    permits: PermitRequester
     is_up: bool = True
     is_cut: bool = False
     side: int = 0
@@ -180,22 +180,22 @@
         name = f"{zone}-{index}"
         me = Member(name, zone, f"{name}:1", f"{name}:2", 1, MemberState.ALIVE)
         membership = Membership(me, random.Random(self.rng.random()))
-        cluster = Cluster(membership, _Rules(), NoteBoard(_ignore), lambda: 1.0)
+        cluster = Cluster(membership, _Rules(), NoteRegistry(_ignore), lambda: 1.0)
         table = SharedCopy()
         cluster.tables = {TABLE: table}
         gossip = Gossip(cluster, None, self, ROUND_S, FANOUT, ())
-        duty = WatchDuty(cluster)
+        duty = WatcherRole(cluster)
         duty.is_ready = True
-        guard = Guard(Metrics(), partial(_accuse, cluster, gossip))
-        cluster.suspicions = suspicion_board(guard.hear)
+        guard = CrashGuard(Metrics(), partial(_accuse, cluster, gossip))
+        cluster.suspicions = quarantine_board(guard.receive)
         services = Services(zone, self.rng, _ignore_policy, settings_for("ask-first"))
         tell = partial(_tell_limit, cluster, gossip)
         limiter = Limiter(services.limits, Metrics(), tell)
-        cluster.limits = limit_board(limiter.hear)
-        givers = PermitGivers(cluster)
-        giving = PermitGiving(limiter, givers, self.rng)
-        gossip.permits = giving.give
-        permits = PermitAsking(name, services, limiter, givers, giving, self)
+        cluster.limits = limit_board(limiter.receive)
+        givers = PermitIssuers(cluster)
+        issuer = LocalPermitIssuer(limiter, givers, self.rng)
+        gossip.permits = issuer.issue
+        permits = PermitRequester(name, services, limiter, givers, issuer, self)
         return Daemon(
             name, zone, cluster, gossip, duty, table, guard, services, limiter, permits
         )
@@ -204,16 +204,17 @@
         """Tell each the addresses of all, as the registry does; none is known yet."""
         zones = {f"{d.name}:1": d.zone for d in self.daemons.values()}
         listed = {
-            d.name: Listed(d.zone, False, f"{d.name}:1") for d in self.daemons.values()
+            d.name: ListedInstance(d.zone, False, f"{d.name}:1")
+            for d in self.daemons.values()
         }
         for daemon in self.daemons.values():
             mine = f"{daemon.name}:1"
-            daemon.gossip.strangers = {a: z for a, z in zones.items() if a != mine}
+            daemon.gossip.listed_peers = {a: z for a, z in zones.items() if a != mine}
             daemon.cluster.listed = listed
             # The first ones asked the store themselves, as seeds do.
             if int(daemon.name.partition("-")[2]) >= 3:
-                daemon.duty.told_at = 0.0
-                daemon.gossip.settled_at = SETTLE_S
+                daemon.duty.joined_at = 0.0
+                daemon.gossip.cross_zone_after = SETTLE_S
 
     # -- time ---------------------------------------------------------------------
 
@@ -241,8 +242,8 @@
             daemon.gossip._calls.join()
             # What a daemon that was called fetches runs in tasks of its own.
             gevent.sleep(0)
-        hurries = daemon.gossip._hurry.is_set()
-        daemon.gossip._hurry.clear()
+        hurries = daemon.gossip._round_due.is_set()
+        daemon.gossip._round_due.clear()
         self.after(0.02 if hurries else ROUND_S, self._round, daemon)
 
     def _ask_permits(self, daemon):
@@ -254,7 +255,7 @@
     def _look(self, daemon):
         """Watch the store, if that is this daemon's duty."""
         self.after(LOOK_S * (0.5 + self.rng.random()), self._look, daemon)
-        if not daemon.is_up or not daemon.duty.is_mine():
+        if not daemon.is_up or not daemon.duty.is_active():
             return
         copy = daemon.table.copy
         serves = self.store.is_up and not daemon.refused
@@ -265,14 +266,14 @@
         self.store.calls += 1
         daemon.called_at = self.now
         if not serves:
-            daemon.duty.note_failure()
-            daemon.gossip.hurry()
+            daemon.duty.report_store_failure()
+            daemon.gossip.trigger_round()
             return
         daemon.cluster.confirmation.confirm(self.now)
         batch = self.store.since(copy.version)
         is_whole = era_of(copy.version) != self.store.era
-        if copy.take_listing(batch) if is_whole else copy.take_changes(batch):
-            daemon.gossip.hurry()
+        if copy.apply_listing(batch) if is_whole else copy.apply_changes(batch):
+            daemon.gossip.trigger_round()
 
     # -- calls between daemons ------------------------------------------------------
 
@@ -298,7 +299,7 @@
     def is_watching(self, daemon: Daemon) -> bool:
         """Tell whether a daemon watches the store."""
         with self._clock():
-            return daemon.duty.is_mine_at(self.now)
+            return daemon.duty.is_active_at(self.now)
 
     def watchers(self) -> dict[str, int]:
         """Count those that watch, by zone."""
@@ -338,7 +339,7 @@
     def ask_permits(self, asker, wanted):
         """Ask for permits to send to limited targets."""
         self._reach(asker)
-        given = self.daemon.gossip.give_permits(asker, list(wanted))
+        given = self.daemon.gossip.issue_permits(asker, list(wanted))
         for message in map(wanted_to_wire, wanted):
             self.fleet.carry("permits", self.daemon, self.is_far, message, None)
         for message in map(given_to_wire, given):
@@ -361,14 +362,14 @@
 
 def _accuse(cluster, gossip, note, again):
     """Spread a note on a request, as the daemon's core does."""
-    if cluster.accuse(note, again) or again:
-        gossip.hurry()
+    if cluster.post_suspicion(note, again) or again:
+        gossip.trigger_round()
 
 
 def _tell_limit(cluster, gossip, note, again):
     """Spread a note on a limit, as the daemon's core does."""
-    if cluster.tell_limit(note, again) or again:
-        gossip.hurry()
+    if cluster.post_limit(note, again) or again:
+        gossip.trigger_round()
 
 
 def _ignore(subject, source, until):
--- a/bench/model/_need.py
+++ b/bench/model/_need.py
@@ -3,12 +3,12 @@
 import attrs
 
 from bench.model._fleet import Daemon, Fleet
-from cairnferry.entry.targets import OwnTargets
+from cairnferry.entry.targets import DefaultTargetConvention
 from cairnferry.policy import (
     NO_LIMIT,
     Answered,
-    Ask,
     Call,
+    CheckStatus,
     LoadReport,
     Pause,
     Send,
@@ -114,19 +114,19 @@
         """Go on with a request that was let wait."""
         if daemon.is_up:
             policy = daemon.services.runtime("s").policy
-            self._act_on(daemon, call, policy.asked(call, self.fleet.now))
+            self._act_on(daemon, call, policy.resume(call, self.fleet.now))
 
     def _act_on(self, daemon, call, decision):
         now = self.fleet.now
         policy = daemon.services.runtime("s").policy
-        while isinstance(decision, Ask):
+        while isinstance(decision, CheckStatus):
             for record in decision.targets:
                 target = self.targets[record.name]
                 report = LoadReport(target.in_use)
                 warmup_s = target.warmup_s(now)
                 daemon.limiter.cold.note_check(record, warmup_s, SERVICE, now)
                 policy.note_check(record.identity, report, True, now)
-            decision = policy.asked(call, now)
+            decision = policy.resume(call, now)
         match decision:
             case Send(attempt):
                 self._run(daemon, attempt)
@@ -147,7 +147,9 @@
             return
         named = target.limit
         headers = [] if named == NO_LIMIT else [("Server-Limit", f"{named:g}")]
-        daemon.limiter.note_outcome(attempt, Reply(200, headers, b""), OwnTargets())
+        daemon.limiter.note_outcome(
+            attempt, Reply(200, headers, b""), DefaultTargetConvention()
+        )
         policy = daemon.services.runtime("s").policy
         policy.finished(
             attempt, Answered(report=LoadReport(target.in_use)), self.fleet.now
--- a/bench/model/_spread.py
+++ b/bench/model/_spread.py
@@ -9,7 +9,11 @@
 
 import attrs
 
-from cairnferry.entry.following._rules_exchange import BUSY_S, FetchTurns, GivingPace
+from cairnferry.entry.following._rules_exchange import (
+    BUSY_RETRY_S,
+    DocumentRateLimit,
+    FetchSlots,
+)
 
 # Bytes a second of a link of 10 Mbit/s.
 SLOW_LINK = 1_250_000.0
@@ -47,8 +51,8 @@
 class _Daemon:
     index: int
     zone: int
-    turns: FetchTurns
-    pace: GivingPace
+    turns: FetchSlots
+    pace: DocumentRateLimit
     is_informed: bool = False
     up_free_at: float = 0.0
     down_free_at: float = 0.0
@@ -86,7 +90,8 @@
         self._events = []
         self._serial = 0
         self.daemons = [
-            _Daemon(i, i % zones, FetchTurns(), GivingPace(link)) for i in range(size)
+            _Daemon(i, i % zones, FetchSlots(), DocumentRateLimit(link))
+            for i in range(size)
         ]
         self._zones = [
             [d for d in self.daemons if d.zone == zone] for zone in range(zones)
@@ -137,9 +142,9 @@
             return
         if self.way.in_turns and not taker.turns.begin(name, self.now):
             return
-        if self.way.is_paced and not giver.pace.has_room(self.way.size, self.now):
+        if self.way.is_paced and not giver.pace.admit(self.way.size, self.now):
             taker.turns.end(name)
-            pause = BUSY_S * (0.5 + self.rng.random())
+            pause = BUSY_RETRY_S * (0.5 + self.rng.random())
             self._after(pause, self._offer, taker, giver)
             return
         self._transfer(taker, giver)
--- a/bench/model/_storm.py
+++ b/bench/model/_storm.py
@@ -3,7 +3,7 @@
 import attrs
 
 from bench.model._fleet import Fleet
-from cairnferry.entry.targets import LostRun
+from cairnferry.entry.targets import InterruptedRequest
 from cairnferry.policy import Call, RequestIdentity
 
 # Seconds for which a target runs the request before it ends, and attempts at a daemon.
@@ -75,9 +75,9 @@
             innocent = RequestIdentity("GET", "shop", path, b"", "10.0.0.2")
             in_hand.append((fleet.rng.choice(fleet.up()), innocent))
         for holder, identity in in_hand:
-            run = LostRun(identity, None, "s", target, began, fleet.now)
-            holder.guard.note_end(run)
-        daemon.guard.look_again(call)
+            run = InterruptedRequest(identity, None, "s", target, began, fleet.now)
+            holder.guard.note_crash(run)
+        daemon.guard.recheck(call)
         if attempt < ATTEMPTS and call.may_retry and daemon.is_up:
             fleet.after(RUN_S, self._end, daemon, call, attempt + 1)
         else:
--- a/bench/model/_world.py
+++ b/bench/model/_world.py
@@ -9,10 +9,10 @@
 from bench.model._result import Outcome, Result
 from bench.model._target import Job, ModelTarget
 from cairnferry.policy import (
-    Abandoned,
     Answered,
-    Ask,
+    AwaitOthers,
     Call,
+    CheckStatus,
     GiveUp,
     Lost,
     PolicySettings,
@@ -118,7 +118,7 @@
         for name in names[: int(self.load.failing * len(names))]:
             self.targets[name].failing = 0.5
         for instance in self.instances:
-            instance.policy.share_with(len(self.instances), instance.place)
+            instance.policy.set_instances(len(self.instances), instance.place)
         self._tell(Lifecycle.ACTIVE)
         if self.load.leaving:
             third = self.length / 3
@@ -231,11 +231,11 @@
         match decision:
             case Send(attempt):
                 self._send(instance, caller, attempt)
-            case Ask(targets):
+            case CheckStatus(targets):
                 self._ask(instance, caller, call, targets)
             case Wait():
                 instance.waiting[call] = caller
-            case Abandoned():
+            case AwaitOthers():
                 pass
             case _:
                 del instance.open[call]
@@ -252,7 +252,7 @@
             for record in records:
                 report = self.targets[record.name].report()
                 policy.note_check(record.name, report, True, now)
-            self._do(instance, caller, call, policy.asked(call, now))
+            self._do(instance, caller, call, policy.resume(call, now))
 
         wait = CHECK_S + 2 * self.site.far_s * bool(far)
         self.clock.after(wait, lambda: self._when_it_runs(instance, hear))
--- a/packages/cloudapi/src/cairnferry/cloudapi/_instances.py
+++ b/packages/cloudapi/src/cairnferry/cloudapi/_instances.py
@@ -7,7 +7,7 @@
 
 from cairnferry.cloudapi._meter import CallMeter
 from cairnferry.coordination import TableUnavailable
-from cairnferry.wire import Client, Reply, describe
+from cairnferry.wire import Client, Reply, describe_outcome
 
 HTTP_OK = 200
 LEAVING = "leaving"
@@ -64,7 +64,7 @@
         received = len(outcome.body) if isinstance(outcome, Reply) else 0
         self.meter.note(write=False, sent=0, received=received, failed=not good)
         if not good:
-            return Error(TableUnavailable(describe(outcome)))
+            return Error(TableUnavailable(describe_outcome(outcome)))
         try:
             return Ok(_parse(json.loads(outcome.body)))
         except (ValueError, KeyError, TypeError, IndexError):
--- a/packages/cloudapi/src/cairnferry/cloudapi/_objects.py
+++ b/packages/cloudapi/src/cairnferry/cloudapi/_objects.py
@@ -5,7 +5,7 @@
 
 from cairnferry.cloudapi._meter import CallMeter
 from cairnferry.cloudapi._signing import Signer
-from cairnferry.wire import Client, Reply, describe
+from cairnferry.wire import Client, Reply, describe_outcome
 
 HTTP_OK = 200
 HTTP_NOT_FOUND = 404
@@ -49,14 +49,14 @@
             case Reply(status=status) if status == HTTP_NOT_FOUND:
                 return Ok(None)
             case _:
-                return Error(ObjectStoreUnavailable(describe(outcome)))
+                return Error(ObjectStoreUnavailable(describe_outcome(outcome)))
 
     def put(self, name: str, body: bytes) -> Result[None, ObjectStoreUnavailable]:
         """Write an object whole."""
         outcome = self._call("PUT", name, body)
         if isinstance(outcome, Reply) and outcome.status == HTTP_OK:
             return Ok(None)
-        return Error(ObjectStoreUnavailable(describe(outcome)))
+        return Error(ObjectStoreUnavailable(describe_outcome(outcome)))
 
     def _call(self, method, name, body):
         path = f"/{self.bucket}/{name}"
--- a/packages/cloudapi/src/cairnferry/cloudapi/_table.py
+++ b/packages/cloudapi/src/cairnferry/cloudapi/_table.py
@@ -16,7 +16,7 @@
     Write,
     WriteUnknown,
 )
-from cairnferry.wire import Client, Incomplete, NotSent, Reply, describe
+from cairnferry.wire import Client, Incomplete, NotSent, Reply, describe_outcome
 
 TARGET_PREFIX = "DynamoDB_20120810."
 CONTENT_TYPE = "application/x-amz-json-1.0"
@@ -58,7 +58,7 @@
             {"TableName": self.table, "Key": _key(key), "ConsistentRead": True},
         )
         if not isinstance(answer, dict):
-            return Error(TableUnavailable(describe(answer)))
+            return Error(TableUnavailable(describe_outcome(answer)))
         found = answer.get("Item")
         return Ok(_item(key, found) if found else None)
 
@@ -72,7 +72,7 @@
             query = self._range_query(prefix, first, last, start)
             answer = self._call("Query", query)
             if not isinstance(answer, dict):
-                return Error(TableUnavailable(describe(answer)))
+                return Error(TableUnavailable(describe_outcome(answer)))
             items.extend(_item(prefix, row) for row in answer["Items"])
             start = answer.get("LastEvaluatedKey")
             if start is None:
@@ -146,11 +146,11 @@
     """
     match outcome:
         case NotSent():
-            return TableUnavailable(describe(outcome))
+            return TableUnavailable(describe_outcome(outcome))
         case Incomplete():
-            return WriteUnknown(describe(outcome))
+            return WriteUnknown(describe_outcome(outcome))
         case Reply(status=status) if status >= HTTP_SERVER_ERROR:
-            return WriteUnknown(describe(outcome))
+            return WriteUnknown(describe_outcome(outcome))
         case Reply(body=body):
             return _refusal(body, writes)
 
--- a/packages/coordination/src/cairnferry/coordination/__init__.py
+++ b/packages/coordination/src/cairnferry/coordination/__init__.py
@@ -20,7 +20,7 @@
 )
 from cairnferry.coordination._confirmation import HeadConfirmation
 from cairnferry.coordination._documents import (
-    NO_NEWS,
+    NO_DOCUMENT_NEWS,
     DocumentFault,
     DocumentHistory,
     DocumentNews,
@@ -28,14 +28,14 @@
     patched,
 )
 from cairnferry.coordination._eras import MAX_ERA, era_of, stamp, version_of
-from cairnferry.coordination._groupcommit import GroupCommit, Pending
+from cairnferry.coordination._groupcommit import GroupCommit, PendingChange
 from cairnferry.coordination._membership import (
     Member,
     Membership,
     MembershipTimes,
     MemberState,
 )
-from cairnferry.coordination._notes import Note, NoteBoard
+from cairnferry.coordination._notes import Note, NoteRegistry
 from cairnferry.coordination._rendezvous import lowest_ranked, rank
 from cairnferry.coordination._table import (
     ConditionFailed,
@@ -46,7 +46,7 @@
     Write,
     WriteUnknown,
 )
-from cairnferry.coordination._tablecopy import Batch, News, Row, TableCopy
+from cairnferry.coordination._tablecopy import Batch, Row, TableReplica, TableUpdate
 
 __all__ = [
     "AppendError",
@@ -70,15 +70,15 @@
     "MemberState",
     "Membership",
     "MembershipTimes",
-    "NO_NEWS",
-    "News",
+    "NO_DOCUMENT_NEWS",
+    "TableUpdate",
     "Note",
-    "NoteBoard",
+    "NoteRegistry",
     "OutcomeUnknown",
-    "Pending",
+    "PendingChange",
     "Row",
     "Table",
-    "TableCopy",
+    "TableReplica",
     "TableError",
     "TableUnavailable",
     "TokenBucket",
--- a/packages/coordination/src/cairnferry/coordination/_documents.py
+++ b/packages/coordination/src/cairnferry/coordination/_documents.py
@@ -40,7 +40,7 @@
     packed: bytes
 
 
-NO_NEWS = DocumentNews(0, 0, b"")
+NO_DOCUMENT_NEWS = DocumentNews(0, 0, b"")
 
 
 @attrs.define
@@ -62,7 +62,7 @@
     def news_since(self, revision: int) -> DocumentNews:
         """Give what one lacks that holds a revision; 0 if it holds none."""
         if revision >= self.revision:
-            return NO_NEWS
+            return NO_DOCUMENT_NEWS
         if revision in self._packed:
             return DocumentNews(self.revision, revision, self._since(revision))
         return DocumentNews(self.revision, 0, self._packed[self.revision])
--- a/packages/coordination/src/cairnferry/coordination/_groupcommit.py
+++ b/packages/coordination/src/cairnferry/coordination/_groupcommit.py
@@ -22,7 +22,7 @@
 
 
 @attrs.define(eq=False)
-class Pending:
+class PendingChange:
     """A submission that waits for its outcome.
 
     Attributes
@@ -59,7 +59,7 @@
     refresh: Callable
     begin: Callable
 
-    def commit(self, waiting: list[Pending]) -> None:
+    def commit(self, waiting: list[PendingChange]) -> None:
         """Commit the submissions and resolve each exactly once.
 
         Notes
@@ -168,7 +168,7 @@
         one.resolve(result)
         other.resolve(result)
 
-    return Pending(one.change, resolve)
+    return PendingChange(one.change, resolve)
 
 
 def _resolve_all(waiting, result):
--- a/packages/coordination/src/cairnferry/coordination/_membership.py
+++ b/packages/coordination/src/cairnferry/coordination/_membership.py
@@ -82,7 +82,7 @@
     """
 
     suspicion: float = 4.0
-    memory: float = 120.0
+    retention: float = 120.0
 
 
 @attrs.define
@@ -167,13 +167,13 @@
         elif known is not None and known.state is MemberState.LEAVING:
             self._store(attrs.evolve(known, state=MemberState.GONE), now)
 
-    def pass_time(self, now: float) -> None:
+    def apply_timeouts(self, now: float) -> None:
         """Turn old suspicions into departures and drop what is long gone."""
         for name, member in list(self._members.items()):
             age = now - self._changed_at[name]
             if member.state is MemberState.SUSPECTED and age >= self.times.suspicion:
                 self._store(attrs.evolve(member, state=MemberState.GONE), now)
-            elif member.state is MemberState.GONE and age >= self.times.memory:
+            elif member.state is MemberState.GONE and age >= self.times.retention:
                 del self._members[name]
                 del self._changed_at[name]
                 self._news.pop(name, None)
@@ -205,7 +205,7 @@
             self._round = sorted(callable_names)
             self.rng.shuffle(self._round)
 
-    def next_far_peer(self) -> Member | None:
+    def next_cross_zone_peer(self) -> Member | None:
         """Choose whom of the other zones to call; None if nobody is known there."""
         far = [
             m
@@ -214,7 +214,7 @@
         ]
         return self.rng.choice(far) if far else None
 
-    def own_zone(self) -> list[str]:
+    def own_zone_names(self) -> list[str]:
         """List the names of the live members of the own zone, by rank.
 
         What only some of a zone do is done by the first of them. Members that see
@@ -224,7 +224,7 @@
         names = [m.name for m in self.live() if m.zone == self.me.zone]
         return lowest_ranked(RANK_KEY, names, len(names))
 
-    def news_for(self, zone: str) -> list[Member]:
+    def updates_for(self, zone: str) -> list[Member]:
         """Give what one of a zone shall hear.
 
         To another zone the own representatives are told in full each time, dead ones
@@ -251,7 +251,9 @@
         ]
         # Those of lowest rank are the ones that the others have heard of.
         lost = lowest_ranked(RANK_KEY, lost, REPRESENTATIVES)
-        return [self.get(name) for name in self.own_zone()[:REPRESENTATIVES] + lost]
+        return [
+            self.get(name) for name in self.own_zone_names()[:REPRESENTATIVES] + lost
+        ]
 
     def news(self) -> list[Member]:
         """Give what has not yet travelled often enough, the freshest first."""
--- a/packages/coordination/src/cairnferry/coordination/_notes.py
+++ b/packages/coordination/src/cairnferry/coordination/_notes.py
@@ -39,7 +39,7 @@
 
 
 @attrs.define
-class NoteBoard:
+class NoteRegistry:
     """Notes that are in force, and how often each is still to be told.
 
     Parameters
@@ -85,7 +85,7 @@
         if until < known + MIN_EXTENSION_S or until <= now:
             return False
         self._until[key] = until
-        self.tell_again(key, now, members)
+        self.spread_again(key, now, members)
         while len(self._until) > self.max_kept:
             oldest = next(iter(self._until))
             del self._until[oldest]
@@ -93,7 +93,7 @@
         self.on_note(note.subject, note.source, until)
         return known <= now
 
-    def tell_again(self, key: tuple[str, str], now: float, members: int) -> None:
+    def spread_again(self, key: tuple[str, str], now: float, members: int) -> None:
         """Spread a note once more, as there may be members that lack it."""
         if key in self._until:
             self._tell[key] = SPREAD_FACTOR * math.ceil(math.log2(members + 2))
@@ -103,7 +103,7 @@
         self._tell.pop(key, None)
         self._tell_until.pop(key, None)
 
-    def to_tell(self, now: float) -> tuple[Note, ...]:
+    def next_notes(self, now: float) -> tuple[Note, ...]:
         """Give the notes for the next message."""
         chosen = sorted(self._tell, key=self._tell.get, reverse=True)[: self.max_told]
         told = []
@@ -117,15 +117,15 @@
                 told.append(Note(*key, remaining))
         return tuple(told)
 
-    def holds(self, subject: str, source: str, now: float) -> bool:
+    def is_in_effect(self, subject: str, source: str, now: float) -> bool:
         """Tell whether a note is in force."""
         return self._until.get((subject, source), now) > now
 
-    def in_force(self, now: float) -> list[Note]:
+    def active_notes(self, now: float) -> list[Note]:
         """List the notes that hold."""
         return [Note(*key, t - now) for key, t in self._until.items() if t > now]
 
-    def drop_lapsed(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Forget the notes that hold no more."""
         self._until = {key: t for key, t in self._until.items() if t > now}
         for key in [key for key in self._tell if key not in self._until]:
--- a/packages/coordination/src/cairnferry/coordination/_tablecopy.py
+++ b/packages/coordination/src/cairnferry/coordination/_tablecopy.py
@@ -41,7 +41,7 @@
 
 
 @attrs.frozen
-class News:
+class TableUpdate:
     """What one copy tells an older one.
 
     Attributes
@@ -60,7 +60,7 @@
 
 
 @attrs.define
-class TableCopy:
+class TableReplica:
     """Rows of a table as they were at one version.
 
     Attributes
@@ -77,7 +77,7 @@
     # Removals up to this version are not all in mind.
     _told_from: int = 0
 
-    def take_listing(self, batch: Batch) -> bool:
+    def apply_listing(self, batch: Batch) -> bool:
         """Take in all rows as the store listed them; tell whether that was newer.
 
         A listing that took long may be older than what a peer told meanwhile.
@@ -87,7 +87,7 @@
         self._replace({row.key: row for row in batch.items}, batch.version)
         return True
 
-    def take_changes(self, batch: Batch) -> bool:
+    def apply_changes(self, batch: Batch) -> bool:
         """Take in changes that follow the copy; tell whether there were any.
 
         A version that moved on without a change of this table is not taken over:
@@ -123,15 +123,15 @@
         """Names of rows that were removed and are kept in mind."""
         return frozenset(self._removals)
 
-    def news_since(self, version: int) -> News:
+    def news_since(self, version: int) -> TableUpdate:
         """Give what a copy of an older version lacks."""
         if version < self._told_from or not version:
-            return News(True, tuple(self.rows.values()), self.version)
+            return TableUpdate(True, tuple(self.rows.values()), self.version)
         changed = [row for row in self.rows.values() if row.version > version]
         removed = [row for row in self._removals.values() if row.version > version]
-        return News(False, (*changed, *removed), self.version)
+        return TableUpdate(False, (*changed, *removed), self.version)
 
-    def take_news(self, news: News) -> bool:
+    def apply_update(self, news: TableUpdate) -> bool:
         """Take in what a peer's copy told; tell whether that was newer."""
         if news.version <= self.version:
             return False
--- a/packages/entry/src/cairnferry/entry/_keys.py
+++ b/packages/entry/src/cairnferry/entry/_keys.py
@@ -1,16 +1,16 @@
 """Settings of the daemon."""
 
 from cairnferry.policy import STRATEGY_NAMES
-from cairnferry.settings import Key, Sort
+from cairnferry.settings import Key, ValueType
 
 KEYS = (
-    Key("instance", "name", Sort.NAME, "name, unique among entry instances"),
-    Key("instance", "zone", Sort.NAME, "availability zone"),
-    Key("callers", "listen", Sort.ADDRESS, "where callers connect"),
+    Key("instance", "name", ValueType.NAME, "name, unique among entry instances"),
+    Key("instance", "zone", ValueType.NAME, "availability zone"),
+    Key("callers", "listen", ValueType.ADDRESS, "where callers connect"),
     Key(
         "callers",
         "answer_ttl_s",
-        Sort.NUMBER,
+        ValueType.NUMBER,
         "how long callers keep a steering answer",
         default=5.0,
         unit="s",
@@ -20,7 +20,7 @@
     Key(
         "callers",
         "shard",
-        Sort.INTEGER,
+        ValueType.INTEGER,
         "entry instances that a service is steered to; 0 for all",
         default=0,
         minimum=0,
@@ -29,7 +29,7 @@
     Key(
         "callers",
         "max_connections",
-        Sort.INTEGER,
+        ValueType.INTEGER,
         "connections of callers; more are refused at once",
         default=4096,
         minimum=1,
@@ -38,7 +38,7 @@
     Key(
         "callers",
         "max_body_bytes",
-        Sort.INTEGER,
+        ValueType.INTEGER,
         "longest request body",
         default=1048576,
         unit="bytes",
@@ -48,7 +48,7 @@
     Key(
         "callers",
         "idle_s",
-        Sort.NUMBER,
+        ValueType.NUMBER,
         "idle time after which a caller's connection is closed",
         default=60.0,
         unit="s",
@@ -58,7 +58,7 @@
     Key(
         "callers",
         "head_s",
-        Sort.NUMBER,
+        ValueType.NUMBER,
         "time for a request's head to arrive",
         default=5.0,
         unit="s",
@@ -68,7 +68,7 @@
     Key(
         "callers",
         "body_s",
-        Sort.NUMBER,
+        ValueType.NUMBER,
         "time for a request's body to arrive",
         default=10.0,
         unit="s",
@@ -78,7 +78,7 @@
     Key(
         "targets",
         "max_answer_bytes",
-        Sort.INTEGER,
+        ValueType.INTEGER,
         "longest answer of a target; it is held whole before it is relayed",
         default=8388608,
         unit="bytes",
@@ -88,41 +88,43 @@
     Key(
         "targets",
         "connect_s",
-        Sort.NUMBER,
+        ValueType.NUMBER,
         "time to open a connection",
         default=0.25,
         unit="s",
         minimum=0.001,
         maximum=30,
     ),
-    Key("operators", "listen", Sort.ADDRESS, "where operators connect"),
+    Key("operators", "listen", ValueType.ADDRESS, "where operators connect"),
     Key(
         "operators",
         "token_file",
-        Sort.PATH,
+        ValueType.PATH,
         "file with a token on each line; none leaves the listener open",
         optional=True,
     ),
-    Key("peers", "listen", Sort.ADDRESS, "where this daemon listens for others"),
+    Key("peers", "listen", ValueType.ADDRESS, "where this daemon listens for others"),
     Key(
         "peers",
         "advertise",
-        Sort.ADDRESS,
+        ValueType.ADDRESS,
         "where others reach it, if not at `listen`",
         optional=True,
     ),
-    Key("peers", "key_file", Sort.PATH, "file with a hexadecimal key on each line"),
+    Key(
+        "peers", "key_file", ValueType.PATH, "file with a hexadecimal key on each line"
+    ),
     Key(
         "peers",
         "seeds",
-        Sort.ADDRESSES,
+        ValueType.ADDRESSES,
         "peers to try when the platform's list is not to be had",
         default=(),
     ),
     Key(
         "peers",
         "interval_s",
-        Sort.NUMBER,
+        ValueType.NUMBER,
         "time between two rounds of heartbeats",
         default=0.5,
         unit="s",
@@ -132,29 +134,29 @@
     Key(
         "peers",
         "fanout",
-        Sort.INTEGER,
+        ValueType.INTEGER,
         "peers called in each round",
         default=3,
         minimum=1,
         maximum=20,
     ),
-    Key("platform", "table", Sort.ADDRESS, "table service"),
-    Key("platform", "table_name", Sort.NAME, "table", default="cairnferry"),
-    Key("platform", "objects", Sort.ADDRESS, "object store"),
-    Key("platform", "bucket", Sort.NAME, "bucket", default="cairnferry"),
-    Key("platform", "instances", Sort.ADDRESS, "instance list"),
-    Key("platform", "region", Sort.NAME, "region of signatures", default="local"),
+    Key("platform", "table", ValueType.ADDRESS, "table service"),
+    Key("platform", "table_name", ValueType.NAME, "table", default="cairnferry"),
+    Key("platform", "objects", ValueType.ADDRESS, "object store"),
+    Key("platform", "bucket", ValueType.NAME, "bucket", default="cairnferry"),
+    Key("platform", "instances", ValueType.ADDRESS, "instance list"),
+    Key("platform", "region", ValueType.NAME, "region of signatures", default="local"),
     Key(
         "platform",
         "credentials_file",
-        Sort.PATH,
+        ValueType.PATH,
         "INI file with [credentials]; none leaves calls unsigned",
         optional=True,
     ),
     Key(
         "platform",
         "timeout_s",
-        Sort.NUMBER,
+        ValueType.NUMBER,
         "time for one call",
         default=1.0,
         unit="s",
@@ -164,7 +166,7 @@
     Key(
         "platform",
         "poll_s",
-        Sort.NUMBER,
+        ValueType.NUMBER,
         "time between two looks at the last revision",
         default=1.0,
         unit="s",
@@ -174,7 +176,7 @@
     Key(
         "drain",
         "margin_s",
-        Sort.NUMBER,
+        ValueType.NUMBER,
         "time added to answer_ttl_s before a leaving daemon closes",
         default=1.0,
         unit="s",
@@ -184,18 +186,24 @@
     Key(
         "drain",
         "limit_s",
-        Sort.NUMBER,
+        ValueType.NUMBER,
         "longest time for requests in flight after that",
         default=30.0,
         unit="s",
         minimum=0.1,
         maximum=600,
     ),
-    Key("log", "debug", Sort.BOOLEAN, "whether to log at debug level", default=False),
+    Key(
+        "log",
+        "debug",
+        ValueType.BOOLEAN,
+        "whether to log at debug level",
+        default=False,
+    ),
     Key(
         "policy",
         "strategy",
-        Sort.NAME,
+        ValueType.NAME,
         "load-aware; two-choices, least-in-flight, round-robin and random are "
         "baselines without limits or ejection, for comparisons",
         default="load-aware",
@@ -204,7 +212,7 @@
     Key(
         "policy",
         "seed",
-        Sort.INTEGER,
+        ValueType.INTEGER,
         "seed of random choices; 0 for a different one at each start",
         default=0,
         minimum=0,
--- a/packages/entry/src/cairnferry/entry/_ports.py
+++ b/packages/entry/src/cairnferry/entry/_ports.py
@@ -11,7 +11,7 @@
 from attrs.validators import instance_of
 from expression import Error, Ok, Result
 
-from cairnferry.coordination import Batch, DocumentNews, News, TableCopy
+from cairnferry.coordination import Batch, DocumentNews, TableReplica, TableUpdate
 from cairnferry.peers import PeerLink
 from cairnferry.records import Route, Service, Target
 
@@ -36,19 +36,19 @@
 
     Attributes
     ----------
-    copy : TableCopy
+    copy : TableReplica
         What is held of it.
     grace_left : float
         Seconds for which rows that vanish are held.
     """
 
-    copy: TableCopy
+    copy: TableReplica
     grace_left: float
 
     def hold_for(self, seconds: float) -> None:
         """Hold rows that vanish from now on, as the store was away until now."""
 
-    def take_news(self, news: News) -> bool:
+    def apply_update(self, news: TableUpdate) -> bool:
         """Take in what another daemon told; tell whether that was newer."""
 
 
--- a/packages/entry/src/cairnferry/entry/adapter.py
+++ b/packages/entry/src/cairnferry/entry/adapter.py
@@ -27,7 +27,7 @@
     LeavingTimes,
     PeerSettings,
     SettingsWatch,
-    disposable_instance,
+    ephemeral_instance_settings,
 )
 from cairnferry.entry.following import (
     HANDOVER_PATH,
@@ -35,7 +35,7 @@
     INSTANCES_COALESCE_S,
     FollowedInstances,
     FollowedRecords,
-    Newcomer,
+    HandoverClient,
 )
 from cairnferry.entry.http import (
     HANDLER_KEY,
@@ -52,10 +52,10 @@
     CheckResult,
     LimitFault,
     TargetConvention,
-    lost,
-    not_run,
+    lost_result,
+    not_run_result,
+    read_advisory,
     read_limit,
-    read_words,
 )
 from cairnferry.entry.telemetry import configure_logs
 
@@ -90,7 +90,7 @@
     "LeavingTimes",
     "LimitFault",
     "Limits",
-    "Newcomer",
+    "HandoverClient",
     "Page",
     "PagesApp",
     "PeerSettings",
@@ -103,13 +103,13 @@
     "Steering",
     "TargetConvention",
     "configure_logs",
-    "disposable_instance",
+    "ephemeral_instance_settings",
     "era_of",
-    "lost",
-    "not_run",
+    "lost_result",
+    "not_run_result",
     "read_limit",
     "read_request_head",
-    "read_words",
+    "read_advisory",
     "stamp",
     "version_of",
 ]
--- a/packages/entry/src/cairnferry/entry/callers/__init__.py
+++ b/packages/entry/src/cairnferry/entry/callers/__init__.py
@@ -2,15 +2,15 @@
 
 from cairnferry.entry.callers._callers import BodyLimits, CallersApp
 from cairnferry.entry.callers._forward import Forwarder
-from cairnferry.entry.callers._guard import Guard
-from cairnferry.entry.callers._starting import Starting
-from cairnferry.entry.callers._suspicions import suspicion_board
+from cairnferry.entry.callers._guard import CrashGuard
+from cairnferry.entry.callers._quarantine_notes import quarantine_board
+from cairnferry.entry.callers._startup_retry import StartupRetry
 
 __all__ = [
     "BodyLimits",
     "CallersApp",
     "Forwarder",
-    "Guard",
-    "Starting",
-    "suspicion_board",
+    "CrashGuard",
+    "StartupRetry",
+    "quarantine_board",
 ]
--- a/packages/entry/src/cairnferry/entry/callers/_callers.py
+++ b/packages/entry/src/cairnferry/entry/callers/_callers.py
@@ -8,7 +8,7 @@
 
 from cairnferry.entry.callers._forward import Forwarder
 from cairnferry.entry.callers._request_log import RequestLog
-from cairnferry.entry.callers._starting import Starting
+from cairnferry.entry.callers._startup_retry import StartupRetry
 from cairnferry.entry.http import (
     HANDLER_KEY,
     Answer,
@@ -23,8 +23,8 @@
 from cairnferry.entry.members import Steering
 from cairnferry.entry.targets import (
     CallerConvention,
+    DefaultCallerConvention,
     OutboundRequest,
-    OwnCallers,
     Services,
 )
 from cairnferry.entry.telemetry import Metrics
@@ -54,7 +54,7 @@
 
 
 def _starting_alone():
-    return Starting(time.monotonic(), lambda: False)
+    return StartupRetry(time.monotonic(), lambda: False)
 
 
 @attrs.define
@@ -75,7 +75,7 @@
         Limits of bodies.
     convention : CallerConvention, optional
         How callers speak.
-    starting : Starting, optional
+    starting : StartupRetry, optional
         When to come back while there are no rules.
     """
 
@@ -84,8 +84,8 @@
     steering: Steering | None
     metrics: Metrics
     limits: BodyLimits
-    convention: CallerConvention = attrs.field(factory=OwnCallers)
-    starting: Starting = attrs.field(factory=_starting_alone)
+    convention: CallerConvention = attrs.field(factory=DefaultCallerConvention)
+    starting: StartupRetry = attrs.field(factory=_starting_alone)
     _request_log: RequestLog = attrs.field(init=False)
 
     def __attrs_post_init__(self):
@@ -104,12 +104,12 @@
             return []
         return self._write(handler, answer, start_response)
 
-    def may_run_beside(self, handler: PipelinedHandler) -> bool:
+    def may_run_concurrently(self, handler: PipelinedHandler) -> bool:
         """Tell whether a request may run while others of its connection do."""
         if handler.problem is not None or not self.services.revision:
             return True
         route = self.services.route(handler.path, handler.headers.get("host"))
-        return route is None or route.allows_repeats(handler.command)
+        return route is None or route.may_resend(handler.command)
 
     def _write(self, handler, answer, start_response):
         headers = list(answer.headers)
@@ -158,7 +158,7 @@
         self._request_log.note_end(runtime.policy, call, forwarded, head.request_id)
         if isinstance(forwarded.decision, Relay):
             return forwarded.answer
-        own = self.convention.own_headers(head)
+        own = self.convention.local_answer_headers(head)
         return attrs.evolve(forwarded.answer, headers=[*forwarded.answer.headers, *own])
 
     def steering_answer(self, path: str) -> Answer:
@@ -191,8 +191,8 @@
 def _call(handler, route, head: RequestHead, service):
     arrived = handler.arrived
     timeout_ms = head.timeout_ms or route.deadline_ms or service.deadline_ms
-    if route.limit_ms is not None:
-        timeout_ms = min(timeout_ms, route.limit_ms)
+    if route.max_deadline_ms is not None:
+        timeout_ms = min(timeout_ms, route.max_deadline_ms)
     objective = route.objective_ms and arrived + route.objective_ms / MS_PER_S
     priority = route.priority
     if head.priority is Priority.BACKGROUND:
@@ -200,7 +200,7 @@
     return Call(
         arrived=arrived,
         deadline=arrived + timeout_ms / MS_PER_S,
-        idempotent=route.allows_repeats(handler.command),
+        idempotent=route.may_resend(handler.command),
         priority=priority,
         may_retry=not head.is_repeated,
         max_attempts=route.max_attempts,
--- a/packages/entry/src/cairnferry/entry/callers/_forward.py
+++ b/packages/entry/src/cairnferry/entry/callers/_forward.py
@@ -7,23 +7,23 @@
 import gevent
 from gevent.queue import Empty, SimpleQueue
 
-from cairnferry.entry.callers._guard import Guard
+from cairnferry.entry.callers._guard import CrashGuard
 from cairnferry.entry.http import Answer, answer_headers, not_run, unknown
 from cairnferry.entry.targets import (
-    Endings,
+    AdvisoryRecorder,
+    CrashDetector,
     Limiter,
     OutboundRequest,
     ServiceRuntime,
     StatusChecks,
     Upstreams,
-    WordListener,
 )
 from cairnferry.policy import (
-    Abandoned,
     Answered,
-    Ask,
     Attempt,
+    AwaitOthers,
     Call,
+    CheckStatus,
     Decision,
     GiveUp,
     Lost,
@@ -62,22 +62,22 @@
         Connections to targets.
     checks : StatusChecks, optional
         Asks targets for their load, where the policy wants that.
-    endings : Endings, optional
+    endings : CrashDetector, optional
         Finds out whether a target ended under a request.
-    guard : Guard, optional
+    guard : CrashGuard, optional
         Keeps requests that end targets from further ones.
     limiter : Limiter, optional
         Takes in limits that targets name.
-    listener : WordListener, optional
+    listener : AdvisoryRecorder, optional
         Takes in what targets say of themselves.
     """
 
     upstreams: Upstreams
     checks: StatusChecks | None = None
-    endings: Endings | None = None
-    guard: Guard | None = None
+    crash_detector: CrashDetector | None = None
+    guard: CrashGuard | None = None
     limiter: Limiter | None = None
-    listener: WordListener | None = None
+    advisory_recorder: AdvisoryRecorder | None = None
 
     def forward(
         self, req: OutboundRequest, call: Call, runtime: ServiceRuntime
@@ -89,10 +89,12 @@
         """
         if self.guard is None:
             return self._forward(req, call, runtime)
-        self.endings.wait_for_look(call.identity)
+        self.crash_detector.wait_for_look(call.identity)
         refused = self.guard.admit(call)
         if refused is not None:
-            decision = runtime.policy.turn_away(refused.cause, refused.retry_after)
+            decision = runtime.policy.refuse_with_delay(
+                refused.cause, refused.retry_after
+            )
             return Forwarded(not_run(refused.cause, refused.retry_after), decision)
         try:
             return self._forward(req, call, runtime)
@@ -109,12 +111,12 @@
                         decision = self._stop(attempt, runtime)
                     case Send(attempt):
                         decision, reply = self._attempt(req, attempt, runtime)
-                    case Ask(targets):
+                    case CheckStatus(targets):
                         self.checks.ask(targets, runtime)
-                        decision = runtime.asked(call)
+                        decision = runtime.resume(call)
                     case Pause(seconds):
                         gevent.sleep(seconds)
-                        decision = runtime.asked(call)
+                        decision = runtime.resume(call)
                     case Wait():
                         decision = runtime.wait(call)
                     case Relay():
@@ -140,7 +142,7 @@
         runtime.cancelled(attempt)
         call.attempts.remove(attempt)
         refused = self.guard.refuse(call)
-        decision = runtime.policy.turn_away(refused.cause, refused.retry_after)
+        decision = runtime.policy.refuse_with_delay(refused.cause, refused.retry_after)
         if call.possibly_run:
             return GiveUp(decision.cause, decision.retry_after)
         return decision
@@ -172,9 +174,9 @@
         reply = outcome if isinstance(outcome, Reply) else None
         if self.limiter is not None:
             self.limiter.note_outcome(attempt, outcome, self.upstreams.convention)
-        if self.listener is not None:
+        if self.advisory_recorder is not None:
             convention, request_id = self.upstreams.convention, req.head.request_id
-            self.listener.note_outcome(
+            self.advisory_recorder.note_outcome(
                 attempt, outcome, runtime, convention, request_id
             )
         if self.guard is None:
@@ -201,14 +203,14 @@
                 self.guard.note_answer(call)
             case Lost(broken=True):
                 service = runtime.policy.service.name
-                looked = self.endings.note_break(
+                looked = self.crash_detector.note_break(
                     attempt, call.identity, req.head.request_id, service
                 )
                 was_held = call.is_suspect or len(call.attempts) > 1
-                if was_held and runtime.policy.may_add(call):
+                if was_held and runtime.policy.allows_attempt(call):
                     if looked is not None:
                         looked.wait()
-                    self.guard.look_again(call)
+                    self.guard.recheck(call)
 
 
 @attrs.define
@@ -249,7 +251,7 @@
                 decision, reply = self.forwarder.conclude(
                     self.req, attempt, outcome, self.runtime
                 )
-                if not isinstance(decision, Abandoned):
+                if not isinstance(decision, AwaitOthers):
                     return decision, reply
         finally:
             self._cut_losers()
@@ -271,9 +273,9 @@
             case Send(attempt):
                 self._start(attempt)
                 return None
-            case Ask(targets):
+            case CheckStatus(targets):
                 gevent.spawn(self.forwarder.checks.ask, targets, self.runtime)
-        return delay if self.runtime.policy.looks_again else None
+        return delay if self.runtime.policy.repeats_hedge_check else None
 
     def _cut_losers(self):
         """Cut what still runs.
--- a/packages/entry/src/cairnferry/entry/callers/_guard.py
+++ b/packages/entry/src/cairnferry/entry/callers/_guard.py
@@ -10,30 +10,30 @@
 
 from cairnferry.coordination import Note, Row, TokenBucket
 from cairnferry.entry.callers._block_table import BlockTable
-from cairnferry.entry.callers._suspicions import (
+from cairnferry.entry.callers._quarantine_notes import (
     AnswerTold,
     BlockTold,
     EndTold,
     note_of,
     read_note,
 )
-from cairnferry.entry.targets import LostRun
+from cairnferry.entry.targets import InterruptedRequest
 from cairnferry.entry.telemetry import Metrics, RateLimit
 from cairnferry.policy import (
-    ALONE_RETRY_S,
-    EVERYBODY,
+    ALL_CALLERS,
+    ISOLATED_RETRY_S,
     TRIAL_RETRY_S,
-    Barred,
     BlockRef,
     Call,
     Cause,
     Decision,
-    End,
-    Free,
     GiveUp,
     Quarantine,
+    Quarantined,
     Refuse,
     Suspect,
+    TargetCrash,
+    Unrestricted,
 )
 
 # Ends that a daemon tells the others, a second and at once. A target has some ten
@@ -43,7 +43,7 @@
 # Of these, kept for requests under which targets ended before.
 TOLD_RESERVE = 16.0
 # Seconds between two looks at the rows of blocks.
-KEEP_S = 5.0
+ROW_SYNC_S = 5.0
 # Seconds after which the first daemon of a zone that still refuses a request tells the
 # others again: one that was cut off may have missed it.
 REMIND_S = 15.0
@@ -52,7 +52,7 @@
 
 
 @attrs.define
-class Guard:
+class CrashGuard:
     """Brings what is seen and told of requests to the decisions, and these to others.
 
     Without it each daemon meets such a request as new, each time it comes: it ended 43
@@ -96,23 +96,23 @@
         if not len(self.quarantine) or call.identity is None:
             return None
         match self._judge(call):
-            case Free():
+            case Unrestricted():
                 return None
-            case Barred() as barred:
+            case Quarantined() as barred:
                 call.is_suspect = True
                 if not barred.retry_after and self._may_try(barred):
                     self._begin_trial(call)
                     return None
                 return self._refusal(barred)
-            case Suspect(alone):
+            case Suspect(isolated):
                 call.is_suspect = True
-                return self._run_alone(call) if alone else None
+                return self._run_alone(call) if isolated else None
 
     def _run_alone(self, call):
         if not self.quarantine.begin(call.identity):
             self.quarantine.finish(call.identity)
             self.metrics.quarantine["refused"] += 1
-            return Refuse(Cause.ENDS_TARGETS, ALONE_RETRY_S)
+            return Refuse(Cause.CRASHES_TARGETS, ISOLATED_RETRY_S)
         call.is_isolated = True
         return None
 
@@ -124,23 +124,23 @@
         """Tell whether a request that was let pass must not be sent any more."""
         if not len(self.quarantine) or call.identity is None or call.is_trial:
             return False
-        return isinstance(self._judge(call), Barred)
+        return isinstance(self._judge(call), Quarantined)
 
     def refuse(self, call: Call) -> Refuse:
         """Refuse a request that `stops` has stopped."""
         match self._judge(call):
-            case Barred() as barred:
+            case Quarantined() as barred:
                 return self._refusal(barred)
             case _:
-                return Refuse(Cause.ENDS_TARGETS, ALONE_RETRY_S)
+                return Refuse(Cause.CRASHES_TARGETS, ISOLATED_RETRY_S)
 
     def _judge(self, call):
-        return self.quarantine.judge(call.identity, time.monotonic())
+        return self.quarantine.check(call.identity, time.monotonic())
 
     def _refusal(self, barred):
         self.metrics.quarantine["refused"] += 1
         self._remind(barred)
-        return Refuse(Cause.ENDS_TARGETS, barred.retry_after or TRIAL_RETRY_S)
+        return Refuse(Cause.CRASHES_TARGETS, barred.retry_after or TRIAL_RETRY_S)
 
     def _remind(self, barred):
         now = time.monotonic()
@@ -157,10 +157,10 @@
             call.is_isolated = False
             self.quarantine.finish(call.identity)
 
-    def look_again(self, call: Call) -> None:
+    def recheck(self, call: Call) -> None:
         """Keep a request that has just ended a target from another one, if it must."""
         match self._judge(call):
-            case Barred() | Suspect(alone=True):
+            case Quarantined() | Suspect(isolated=True):
                 call.may_retry = False
             case Suspect():
                 call.is_suspect = True
@@ -172,20 +172,20 @@
         if call.identity is None:
             return decision
         match self._judge(call):
-            case Barred(retry_after=retry_after):
-                return GiveUp(Cause.ENDS_TARGETS, retry_after or TRIAL_RETRY_S)
+            case Quarantined(retry_after=retry_after):
+                return GiveUp(Cause.CRASHES_TARGETS, retry_after or TRIAL_RETRY_S)
             case _:
                 return decision
 
     # -- what is seen here ---------------------------------------------------------
 
-    def note_end(self, run: LostRun) -> None:
+    def note_crash(self, run: InterruptedRequest) -> None:
         """Take in that a target ended with a request in hand."""
         now = time.monotonic()
         content = run.identity.content
-        end = End(run.target, run.identity.caller_tag, run.started, run.ended)
-        was_held = self.quarantine.is_held(run.identity)
-        if not self.quarantine.note_end(content, end, now):
+        end = TargetCrash(run.target, run.identity.caller_tag, run.started, run.ended)
+        was_held = self.quarantine.is_suspected(run.identity)
+        if not self.quarantine.note_crash(content, end, now):
             return
         if was_held and self._log_limit.allows():
             self._log("request suspected", content, end.caller, target=run.target)
@@ -205,7 +205,7 @@
 
     def _blame(self, content, is_own):
         by = "ends" if is_own else "ends told by others"
-        for ref, block in self.quarantine.blame(content, time.monotonic()):
+        for ref, block in self.quarantine.block_if_proven(content, time.monotonic()):
             self._note_block(ref, block, by)
             self._spread(BlockTold(ref, block))
             if is_own:
@@ -216,7 +216,7 @@
         identity = call.identity
         if not len(self.quarantine) or identity is None:
             return
-        if not self.quarantine.is_held(identity):
+        if not self.quarantine.is_suspected(identity):
             return
         now = time.monotonic()
         told = AnswerTold(identity.content, identity.caller_tag, now)
@@ -225,16 +225,16 @@
 
     # -- what others tell ----------------------------------------------------------
 
-    def hear(self, subject: str, source: str, until: float) -> None:
+    def receive(self, subject: str, source: str, until: float) -> None:
         """Take in a note of another daemon, or one of this daemon's own."""
         match read_note(subject, source, until):
             case EndTold(content, end):
-                if self.quarantine.note_end(content, end, time.monotonic()):
+                if self.quarantine.note_crash(content, end, time.monotonic()):
                     self._blame(content, is_own=False)
             case AnswerTold() as told:
                 self._clear(told, by="answer told by others")
             case BlockTold(ref, block):
-                if self.quarantine.take_block(ref.content, ref.scope, block):
+                if self.quarantine.apply_block(ref.content, ref.scope, block):
                     self._note_block(ref, block, by="others")
             case None:
                 log.info("suspicion of another release", extra={"source": source})
@@ -262,7 +262,7 @@
                 return False
         elif not self.is_first(ref.content):
             return False
-        if not self.quarantine.take_block(ref.content, ref.scope, block):
+        if not self.quarantine.apply_block(ref.content, ref.scope, block):
             return False
         self.metrics.quarantine["tried"] += 1
         self._log("request tried again", ref.content, ref.scope, trials=block.trials)
@@ -271,27 +271,27 @@
 
     # -- rows of blocks --------------------------------------------------------------
 
-    def take_rows(self, rows: dict[str, Row], era: int = 0) -> None:
+    def apply_rows(self, rows: dict[str, Row], era: int = 0) -> None:
         """Take in all rows of blocks by name, of an era of the store."""
         now = time.monotonic()
         news = self.table.take(rows, era)
         for ref, block in news.written.items():
-            held = block.holds(now)
-            if held and self.quarantine.take_block(ref.content, ref.scope, block):
+            held = block.is_in_effect(now)
+            if held and self.quarantine.apply_block(ref.content, ref.scope, block):
                 self._note_block(ref, block, by="store")
         for ref in news.removed:
             self._clear(AnswerTold(ref.content, ref.scope, now), by="row removed")
 
-    def keep(self) -> None:
+    def maintain(self) -> None:
         """Write rows that are missing and remove those that are out of date."""
         while True:
-            gevent.sleep(KEEP_S)
+            gevent.sleep(ROW_SYNC_S)
             self.keep_once()
 
     def keep_once(self) -> None:
         """Look once at what is to be written and removed."""
         now = time.monotonic()
-        self.quarantine.drop_lapsed(now)
+        self.quarantine.drop_expired(now)
         blocks = self.quarantine.blocks(now)
         self._reminded = {r: t for r, t in self._reminded.items() if r in blocks}
         self._asked = {r: t for r, t in self._asked.items() if r in blocks}
@@ -301,7 +301,7 @@
             if self.table.lacks(ref) and self.is_first(ref.content):
                 self.table.add(ref, block)
         for ref, block in self.table.read_all().items():
-            is_over = block is None or self.quarantine.is_over(ref, block, now)
+            is_over = block is None or self.quarantine.is_block_over(ref, block, now)
             if is_over and self.is_first(ref.content):
                 self.table.remove(ref)
 
@@ -309,7 +309,7 @@
 
     def lift(self, content: str) -> bool:
         """Let a request through again, at all daemons; tell if it was kept back."""
-        told = AnswerTold(content, EVERYBODY, time.monotonic())
+        told = AnswerTold(content, ALL_CALLERS, time.monotonic())
         lifted = self._clear(told, by="operator", removes_row=True)
         self._spread(told)
         return lifted
--- a/packages/entry/src/cairnferry/entry/callers/_suspicions.py
+++ b/packages/entry/src/cairnferry/entry/callers/_quarantine_notes.py
@@ -4,8 +4,8 @@
 
 import attrs
 
-from cairnferry.coordination import Note, NoteBoard
-from cairnferry.policy import MEMORY_S, Block, BlockRef, End
+from cairnferry.coordination import Note, NoteRegistry
+from cairnferry.policy import EVIDENCE_RETENTION_S, Block, BlockRef, TargetCrash
 
 # Seconds for which a note on a block goes on to be believed: it has to outlive any
 # block that somebody still asks for, as its age tells when the block was set.
@@ -28,12 +28,12 @@
     """A target ended with a request in hand."""
 
     content: str
-    end: End
+    end: TargetCrash
 
 
 @attrs.frozen
 class AnswerTold:
-    """A caller, or `EVERYBODY`, is cleared by an answer at a time."""
+    """A caller, or `ALL_CALLERS`, is cleared by an answer at a time."""
 
     content: str
     caller: str
@@ -51,7 +51,7 @@
 Told = EndTold | AnswerTold | BlockTold
 
 
-def suspicion_board(hear: Callable[[str, str, float], None]) -> NoteBoard:
+def quarantine_board(hear: Callable[[str, str, float], None]) -> NoteRegistry:
     """Give the board of such notes.
 
     Parameters
@@ -59,7 +59,7 @@
     hear : callable
         Called with subject, source and end of each note that is new.
     """
-    return NoteBoard(hear, BLOCK_NOTE_S, MAX_KEPT, MAX_TOLD, TELL_S)
+    return NoteRegistry(hear, BLOCK_NOTE_S, MAX_KEPT, MAX_TOLD, TELL_S)
 
 
 def note_of(told: Told, now: float) -> Note:
@@ -68,9 +68,11 @@
         case EndTold(content, end):
             ran_ms = round((end.ended - end.started) * MS_PER_S)
             source = f"ended {end.caller} {ran_ms} {end.target}"
-            return Note(content, source, MEMORY_S - (now - end.ended))
+            return Note(content, source, EVIDENCE_RETENTION_S - (now - end.ended))
         case AnswerTold(content, caller, at):
-            return Note(content, f"answered {caller}", MEMORY_S - (now - at))
+            return Note(
+                content, f"answered {caller}", EVIDENCE_RETENTION_S - (now - at)
+            )
         case BlockTold(ref, block):
             span_ms = _round_up(round((block.at - block.since) * MS_PER_S))
             source = f"blocked {ref.scope} {block.trials} {span_ms}"
@@ -95,11 +97,11 @@
     try:
         match source.split(" ", 3):
             case ["ended", caller, ran_ms, target]:
-                ended = until - MEMORY_S
+                ended = until - EVIDENCE_RETENTION_S
                 started = ended - int(ran_ms) / MS_PER_S
-                return EndTold(subject, End(target, caller, started, ended))
+                return EndTold(subject, TargetCrash(target, caller, started, ended))
             case ["answered", caller]:
-                return AnswerTold(subject, caller, until - MEMORY_S)
+                return AnswerTold(subject, caller, until - EVIDENCE_RETENTION_S)
             case ["blocked", scope, trials, span_ms]:
                 at = until - BLOCK_NOTE_S
                 block = Block(at, at - int(span_ms) / MS_PER_S, int(trials))
--- a/packages/entry/src/cairnferry/entry/callers/_request_log.py
+++ b/packages/entry/src/cairnferry/entry/callers/_request_log.py
@@ -130,10 +130,10 @@
             "route": call.route,
             "revision": self.services.revision,
             "attempts": [_told(attempt, call) for attempt in call.attempts],
-            "asked": sorted(call.search.asked),
+            "asked": sorted(call.search.checked),
             "after_ms": round(after * MS_PER_S, 1),
             "time_given_ms": round((call.deadline - call.arrived) * MS_PER_S),
-            "repeats_left": round(policy.repeats_left, 1),
+            "repeats_left": round(policy.retries_left, 1),
             **_identified(call),
         }
 
--- a/packages/entry/src/cairnferry/entry/callers/_starting.py
+++ b/packages/entry/src/cairnferry/entry/callers/_startup_retry.py
@@ -14,7 +14,7 @@
 
 
 @attrs.define
-class Starting:
+class StartupRetry:
     """Decides on Retry-After while this daemon knows no rules.
 
     After a loss of power all daemons start at once. A caller has few tries: sent to the
--- a/packages/entry/src/cairnferry/entry/changelog/_distribution.py
+++ b/packages/entry/src/cairnferry/entry/changelog/_change_log_sync.py
@@ -9,7 +9,7 @@
 
 from cairnferry.cloudapi import ObjectStore
 from cairnferry.coordination import (
-    NO_NEWS,
+    NO_DOCUMENT_NEWS,
     ChangeLog,
     DocumentNews,
     LogRow,
@@ -29,7 +29,7 @@
 
 
 @attrs.define
-class Distribution:
+class ChangeLogSync:
     """Brings the local configuration up to date.
 
     Parameters
@@ -61,7 +61,7 @@
         Duplicates are harmless, so that a rank is enough and no lease is held.
         """
         membership = self.cluster.membership
-        return membership.me.name in membership.own_zone()[:POLLERS_PER_ZONE]
+        return membership.me.name in membership.own_zone_names()[:POLLERS_PER_ZONE]
 
     def should_poll(self) -> bool:
         """Tell whether to look at the head now."""
@@ -149,7 +149,7 @@
 
     def document_since(self, revision: int) -> DocumentNews:
         """Give nothing: records are told by the rows of the log."""
-        return NO_NEWS
+        return NO_DOCUMENT_NEWS
 
     def pull_from(self, link: PeerLink, offered: int) -> None:
         """Fetch from a peer what it has and this daemon has not.
--- a/packages/entry/src/cairnferry/entry/command.py
+++ b/packages/entry/src/cairnferry/entry/command.py
@@ -16,7 +16,7 @@
 from cairnferry.entry.daemon import Daemon  # noqa: E402
 from cairnferry.entry.telemetry import configure_logs  # noqa: E402
 from cairnferry.peers import KeyFileFault  # noqa: E402
-from cairnferry.settings import describe, read_settings  # noqa: E402
+from cairnferry.settings import format_key_table, read_settings  # noqa: E402
 
 EXIT_SETTINGS = 2
 
@@ -45,7 +45,7 @@
     """Run the command line."""
     args = cappa.parse(Cairnferryd)
     if args.keys:
-        print(describe(KEYS))
+        print(format_key_table(KEYS))
         return
     overrides = dict(text.partition("=")[::2] for text in args.set)
     cfg = read_settings(KEYS, args.config, overrides)
--- a/packages/entry/src/cairnferry/entry/core/__init__.py
+++ b/packages/entry/src/cairnferry/entry/core/__init__.py
@@ -7,7 +7,7 @@
     LeavingTimes,
     PeerSettings,
 )
-from cairnferry.entry.core._disposable import disposable_instance
+from cairnferry.entry.core._ephemeral import ephemeral_instance_settings
 from cairnferry.entry.core._settings_watch import SettingsWatch
 
 __all__ = [
@@ -17,5 +17,5 @@
     "LeavingTimes",
     "PeerSettings",
     "SettingsWatch",
-    "disposable_instance",
+    "ephemeral_instance_settings",
 ]
--- a/packages/entry/src/cairnferry/entry/core/_core.py
+++ b/packages/entry/src/cairnferry/entry/core/_core.py
@@ -9,14 +9,14 @@
 import gevent
 from gevent.event import Event
 
-from cairnferry.coordination import Note, NoteBoard, lowest_ranked
+from cairnferry.coordination import Note, NoteRegistry, lowest_ranked
 from cairnferry.entry._ports import CallerLimits, Records
 from cairnferry.entry.callers import (
     CallersApp,
+    CrashGuard,
     Forwarder,
-    Guard,
-    Starting,
-    suspicion_board,
+    StartupRetry,
+    quarantine_board,
 )
 from cairnferry.entry.core._core_settings import Conventions, CoreSettings
 from cairnferry.entry.core._state_view import StateView
@@ -25,20 +25,20 @@
     NO_STORE,
     Cluster,
     Gossip,
-    PermitGivers,
+    PermitIssuers,
     Steering,
-    WatchDuty,
+    WatcherRole,
     new_membership,
 )
 from cairnferry.entry.targets import (
-    Endings,
+    AdvisoryRecorder,
+    CrashDetector,
     Limiter,
-    PermitAsking,
-    PermitGiving,
+    LocalPermitIssuer,
+    PermitRequester,
     Services,
     StatusChecks,
     Upstreams,
-    WordListener,
     limit_board,
 )
 from cairnferry.entry.telemetry import FaultyRows, Metrics
@@ -48,7 +48,7 @@
 
 # Seconds between two looks at how many instances there are: the shares are wrong for
 # that long after some were lost or came, in sum by the part of those.
-SHARE_OUT_S = 1.0
+SHARE_UPDATE_S = 1.0
 # Seconds for a call to a peer; zones are some milliseconds apart, a busy one is late.
 PEER_TIMEOUT_S = 0.8
 # Seconds after which a task that failed unforeseen begins again: one that fails at once
@@ -83,13 +83,21 @@
             cfg.connect_s, cfg.max_answer_bytes, conventions.targets
         )
         self.limiter = Limiter(self.services.limits, self.metrics, self._tell_limit)
-        self.listener = WordListener(self.metrics, self.services.holds)
+        self.advisory_recorder = AdvisoryRecorder(
+            self.metrics, self.services.advisories
+        )
         self.checks = StatusChecks(
-            self.upstreams, self.metrics, cfg.checks_per_s, self.limiter, self.listener
+            self.upstreams,
+            self.metrics,
+            cfg.checks_per_s,
+            self.limiter,
+            self.advisory_recorder,
+        )
+        self.guard = CrashGuard(self.metrics, self._accuse, self._is_first_for)
+        self.crash_detector = CrashDetector(
+            self.upstreams, self.metrics, self.guard.note_crash
         )
-        self.guard = Guard(self.metrics, self._accuse, self._is_first_for)
-        self.endings = Endings(self.upstreams, self.metrics, self.guard.note_end)
-        self.notes = NoteBoard(self._note_draining)
+        self.notes = NoteRegistry(self._note_draining)
         self.keys = keys
         self.peer_meter = ByteMeter()
         self.conventions = conventions
@@ -98,12 +106,12 @@
         self._listeners = []
         self._tasks = []
         self._leaving = Event()
-        self.farewells: list[Callable[[], None]] = []
+        self.leave_hooks: list[Callable[[], None]] = []
         self.reload = Event()
 
     # -- parts ------------------------------------------------------------------
 
-    def join(self, records: Records, configuration) -> None:
+    def build_cluster(self, records: Records, configuration) -> None:
         """Make the parts that speak to peers.
 
         Parameters
@@ -120,9 +128,9 @@
         self.cluster = Cluster(membership, configuration, self.notes, self._spare)
         self.cluster.tables = records.tables
         self.cluster.on_listed = self.share_out
-        self.cluster.suspicions = suspicion_board(self.guard.hear)
-        self.cluster.limits = limit_board(self.limiter.hear)
-        self.duty = WatchDuty(self.cluster)
+        self.cluster.suspicions = quarantine_board(self.guard.receive)
+        self.cluster.limits = limit_board(self.limiter.receive)
+        self.watcher_role = WatcherRole(self.cluster)
         links = PeerLinks(self.keys, self.peer_meter, PEER_TIMEOUT_S)
         self.gossip = Gossip(
             self.cluster,
@@ -140,14 +148,14 @@
 
     def _share_limits(self, links):
         """Make the parts that ask for permits and give them."""
-        givers = PermitGivers(self.cluster)
-        giving = PermitGiving(self.limiter, givers, self.rng)
-        self.gossip.permits = giving.give
-        self.permits = PermitAsking(
-            self.cfg.name, self.services, self.limiter, givers, giving, links
+        givers = PermitIssuers(self.cluster)
+        issuer = LocalPermitIssuer(self.limiter, givers, self.rng)
+        self.gossip.permits = issuer.issue
+        self.permits = PermitRequester(
+            self.cfg.name, self.services, self.limiter, givers, issuer, links
         )
 
-    def listen_for_callers(self, steer_on_it: bool) -> HttpServer:
+    def listen_for_callers(self, serve_steering: bool) -> HttpServer:
         """Make the callers' listener.
 
         Parameters
@@ -161,22 +169,22 @@
             Forwarder(
                 self.upstreams,
                 self.checks,
-                self.endings,
+                self.crash_detector,
                 self.guard,
                 self.limiter,
-                self.listener,
+                self.advisory_recorder,
             ),
-            self.steering if steer_on_it else None,
+            self.steering if serve_steering else None,
             self.metrics,
             cfg.bodies,
             self.conventions.callers,
-            Starting(time.monotonic(), self.cluster.others_have_rules),
+            StartupRetry(time.monotonic(), self.cluster.others_have_rules),
         )
         self.callers_app = app
         address = cfg.callers.as_tuple()
         self.callers_server = PipelinedServer(address, app, cfg.caller_limits)
         self._listeners.append(self.callers_server)
-        self.shown = StateView(
+        self.state_view = StateView(
             self.cluster,
             self.gossip,
             self.callers_server,
@@ -186,7 +194,7 @@
             self.metrics,
             self.guard,
             self.limiter,
-            self.listener,
+            self.advisory_recorder,
         )
         return self.callers_server
 
@@ -209,7 +217,7 @@
         gevent.signal_handler(signal.SIGTERM, self.leave)
         gevent.signal_handler(signal.SIGINT, self.leave)
         gevent.signal_handler(signal.SIGHUP, self.reload.set)
-        gevent.signal_handler(signal.SIGUSR1, self.shown.log_dump)
+        gevent.signal_handler(signal.SIGUSR1, self.state_view.log_dump)
         self.start(tasks)
         return self.run_to_end()
 
@@ -226,7 +234,7 @@
         for task in (
             self.gossip.run,
             self._keep_house,
-            self.guard.keep,
+            self.guard.maintain,
             self.permits.run,
             *tasks,
         ):
@@ -263,26 +271,26 @@
     def _keep_house(self):
         while True:
             self.share_out()
-            gevent.sleep(SHARE_OUT_S)
+            gevent.sleep(SHARE_UPDATE_S)
 
     def share_out(self) -> None:
         """Work out this instance's part of what all share."""
         self.instances = self.cluster.count_instances()
         targets = self.services.targets()
-        self.checks.share_with(self.instances, len(targets))
+        self.checks.set_instances(self.instances, len(targets))
         self.limiter.forget_unlisted(targets)
-        self.listener.keep(targets)
+        self.advisory_recorder.maintain(targets)
         for runtime in self.services.active().values():
-            runtime.policy.share_with(self.instances, self._place())
+            runtime.policy.set_instances(self.instances, self._place())
 
     def _tell_limit(self, note: Note, again: bool):
-        if self.cluster.tell_limit(note, again) or again:
-            self.gossip.hurry()
+        if self.cluster.post_limit(note, again) or again:
+            self.gossip.trigger_round()
 
     def _place(self):
         """Give where this instance stands among those of its zone; None if leaving."""
         membership = self.cluster.membership
-        names = membership.own_zone()
+        names = membership.own_zone_names()
         if membership.me.name not in names:
             return None
         return names.index(membership.me.name) / len(names)
@@ -304,9 +312,9 @@
         """
         log.info("leaving")
         self.cluster.membership.leave()
-        self.gossip.hurry()
+        self.gossip.trigger_round()
         self.callers_server.announce_end()
-        for farewell in self.farewells:
+        for farewell in self.leave_hooks:
             # None of them may hold up the end; it comes whether they are done or not.
             self.spawn(farewell)
         gevent.sleep(self.cfg.leaving.serve_s)
@@ -360,20 +368,20 @@
 
     def _tell_known(self, policy):
         now = time.monotonic()
-        policy.share_with(self.instances, self._place())
-        for note in self.notes.in_force(now):
+        policy.set_instances(self.instances, self._place())
+        for note in self.notes.active_notes(now):
             if note.source == NO_STORE:
                 continue
             source = DrainSource(note.source)
             policy.note_draining(note.subject, source, now + note.remaining)
 
     def _accuse(self, note: Note, again: bool):
-        if self.cluster.accuse(note, again) or again:
-            self.gossip.hurry()
+        if self.cluster.post_suspicion(note, again) or again:
+            self.gossip.trigger_round()
 
     def _is_first_for(self, content):
         """Tell whether this daemon acts for its zone on what concerns a request."""
-        names = self.cluster.membership.own_zone()
+        names = self.cluster.membership.own_zone_names()
         return lowest_ranked(content, names, 1) == [self.cfg.name]
 
     def _spare(self):
--- a/packages/entry/src/cairnferry/entry/core/_core_settings.py
+++ b/packages/entry/src/cairnferry/entry/core/_core_settings.py
@@ -8,8 +8,8 @@
 from cairnferry.entry.http import Limits
 from cairnferry.entry.targets import (
     CallerConvention,
-    OwnCallers,
-    OwnTargets,
+    DefaultCallerConvention,
+    DefaultTargetConvention,
     TargetConvention,
 )
 from cairnferry.policy import PolicySettings
@@ -117,5 +117,5 @@
 class Conventions:
     """How callers and targets are spoken to."""
 
-    callers: CallerConvention = attrs.field(factory=OwnCallers)
-    targets: TargetConvention = attrs.field(factory=OwnTargets)
+    callers: CallerConvention = attrs.field(factory=DefaultCallerConvention)
+    targets: TargetConvention = attrs.field(factory=DefaultTargetConvention)
--- a/packages/entry/src/cairnferry/entry/core/_disposable.py
+++ b/packages/entry/src/cairnferry/entry/core/_ephemeral.py
@@ -39,7 +39,7 @@
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
 
 
-def disposable_instance(
+def ephemeral_instance_settings(
     *,
     name: str,
     zone: str,
--- a/packages/entry/src/cairnferry/entry/core/_state_view.py
+++ b/packages/entry/src/cairnferry/entry/core/_state_view.py
@@ -6,10 +6,10 @@
 
 import attrs
 
-from cairnferry.entry.callers import Guard
+from cairnferry.entry.callers import CrashGuard
 from cairnferry.entry.http import TEXT, Page, PipelinedServer
 from cairnferry.entry.members import Cluster, Gossip
-from cairnferry.entry.targets import Limiter, Services, Upstreams, WordListener
+from cairnferry.entry.targets import AdvisoryRecorder, Limiter, Services, Upstreams
 from cairnferry.entry.telemetry import Metrics, dropped_lines, render_metrics
 from cairnferry.peers import ByteMeter
 
@@ -32,11 +32,11 @@
         Bytes exchanged with other daemons.
     metrics : Metrics
         Counters and histograms.
-    guard : Guard
+    guard : CrashGuard
         Requests that are kept from targets.
     limiter : Limiter
         Limits that targets name.
-    listener : WordListener
+    listener : AdvisoryRecorder
         What targets said of themselves.
     """
 
@@ -47,9 +47,9 @@
     services: Services
     peer_meter: ByteMeter
     metrics: Metrics
-    guard: Guard
+    guard: CrashGuard
     limiter: Limiter
-    listener: WordListener
+    advisory_recorder: AdvisoryRecorder
 
     def status(self) -> dict:
         """Give this daemon's view of all daemons."""
@@ -94,7 +94,7 @@
             },
             "blocked_requests": self.guard.snapshot(),
             "limits": self.limiter.snapshot(),
-            "target_words": self.listener.snapshot(),
+            "target_words": self.advisory_recorder.snapshot(),
             "log_lines_dropped": dropped_lines(),
             "metrics": self.metrics.snapshot(),
         }
--- a/packages/entry/src/cairnferry/entry/daemon/_daemon.py
+++ b/packages/entry/src/cairnferry/entry/daemon/_daemon.py
@@ -17,7 +17,7 @@
 from cairnferry.coordination import ChangeLog
 from cairnferry.entry._ports import EntryRow
 from cairnferry.entry.callers import BodyLimits
-from cairnferry.entry.changelog import Configuration, Distribution
+from cairnferry.entry.changelog import ChangeLogSync, Configuration
 from cairnferry.entry.core import (
     Conventions,
     Core,
@@ -30,7 +30,7 @@
 from cairnferry.entry.http import Limits
 from cairnferry.entry.members import Enrolment
 from cairnferry.entry.operators import OperatorsApp, Submissions, TokenFile
-from cairnferry.entry.targets import Probing
+from cairnferry.entry.targets import HealthProber
 from cairnferry.entry.telemetry import render_metrics
 from cairnferry.peers import KeyRing
 from cairnferry.policy import settings_for
@@ -69,14 +69,14 @@
         self._build_platform()
         self.blocked = TableBlocks(self.table)
         core.guard.table.rows = self.blocked
-        self.distribution = Distribution(
+        self.distribution = ChangeLogSync(
             ChangeLog(self.table, self._pause),
             self.objects,
             self.configuration,
             None,
             core.rng,
         )
-        core.join(self.distribution, self.configuration)
+        core.build_cluster(self.distribution, self.configuration)
         self.distribution.cluster = core.cluster
         leaving = LeavingTargets(core.cluster, core.gossip, core.services)
         self.enrolment = Enrolment(
@@ -92,10 +92,10 @@
             core.gossip,
             core.rng,
         )
-        self.probing = Probing(
-            core.cluster, core.services, core.metrics, core.gossip.hurry
+        self.prober = HealthProber(
+            core.cluster, core.services, core.metrics, core.gossip.trigger_round
         )
-        core.listen_for_callers(steer_on_it=True)
+        core.listen_for_callers(serve_steering=True)
         self._build_operators()
 
     # -- parts ------------------------------------------------------------------
@@ -128,13 +128,13 @@
     def _build_operators(self):
         cfg = self._cfg
         self.submissions = Submissions(
-            self.distribution, self.configuration, self.core.gossip.hurry
+            self.distribution, self.configuration, self.core.gossip.trigger_round
         )
         operators = OperatorsApp(
             self.configuration,
             self.submissions,
             TokenFile(cfg.get("operators", "token_file")),
-            self.core.shown.status,
+            self.core.state_view.status,
             self.dump,
             lambda: render_metrics(self.dump()),
             self.core.leave,
@@ -177,7 +177,7 @@
             before = self.configuration.revision
             self.distribution.refresh()
             if self.configuration.revision > before:
-                self.core.gossip.hurry()
+                self.core.gossip.trigger_round()
             self.distribution.save_snapshot()
 
     def _poll_list(self):
@@ -197,7 +197,7 @@
                 read = self.blocked.read()
                 if read.is_ok():
                     is_known = True
-                    guard.take_rows(read.ok)
+                    guard.apply_rows(read.ok)
             pause = BLOCKED_POLL_S if is_known else START_RETRY_S
             gevent.sleep(pause * (0.5 + self.core.rng.random()))
 
@@ -205,8 +205,8 @@
         rounds = 0
         while True:
             if rounds % SHARE_OUT_ROUNDS == 0:
-                self.probing.share_out()
-            self.probing.one_round()
+                self.prober.assign_targets()
+            self.prober.one_round()
             rounds += 1
             gevent.sleep(HOUSEKEEPING_S)
 
@@ -228,7 +228,7 @@
 
     def dump(self) -> dict:
         """Give this daemon's state, as plain values without secrets."""
-        document = self.core.shown.dump()
+        document = self.core.state_view.dump()
         document["connections"]["operators"] = self.operators_server.connections
         return document | {
             "records": len(self.configuration.records.entries),
--- a/packages/entry/src/cairnferry/entry/daemon/_listing.py
+++ b/packages/entry/src/cairnferry/entry/daemon/_listing.py
@@ -105,4 +105,4 @@
                 source = str(DrainSource.PLATFORM)
                 note = Note(target.identity, source, PLATFORM_NOTE_S)
                 if self.cluster.post(note):
-                    self.gossip.hurry()
+                    self.gossip.trigger_round()
--- a/packages/entry/src/cairnferry/entry/following/__init__.py
+++ b/packages/entry/src/cairnferry/entry/following/__init__.py
@@ -1,7 +1,7 @@
 """Records in force where the platform keeps them in tables that are followed."""
 
 from cairnferry.entry.following._followed import FollowedRecords
-from cairnferry.entry.following._handover import HANDOVER_PATH, Newcomer
+from cairnferry.entry.following._handover import HANDOVER_PATH, HandoverClient
 from cairnferry.entry.following._instances import (
     INSTANCES,
     INSTANCES_COALESCE_S,
@@ -14,5 +14,5 @@
     "HANDOVER_PATH",
     "INSTANCES",
     "INSTANCES_COALESCE_S",
-    "Newcomer",
+    "HandoverClient",
 ]
--- a/packages/entry/src/cairnferry/entry/following/_evacuations.py
+++ b/packages/entry/src/cairnferry/entry/following/_evacuations.py
@@ -25,7 +25,7 @@
     zone_of: Callable[[str], str | None]
     install: Callable[[frozenset[str], int], None]
 
-    def take(self, rows: dict[str, Row]) -> None:
+    def apply_rows(self, rows: dict[str, Row]) -> None:
         """Take in all rows, by key."""
         versions = {self.zone_of(key): row.version for key, row in rows.items()}
         versions.pop(None, None)
--- a/packages/entry/src/cairnferry/entry/following/_followed.py
+++ b/packages/entry/src/cairnferry/entry/following/_followed.py
@@ -15,9 +15,9 @@
 from cairnferry.entry.following._following import Follower
 from cairnferry.entry.following._handover import Handover, HandoverPages
 from cairnferry.entry.following._rules_exchange import (
-    BUSY_S,
-    MAX_ASKED_AGAIN,
-    GivingPace,
+    BUSY_RETRY_S,
+    MAX_BUSY_RETRIES,
+    DocumentRateLimit,
     RulesExchange,
 )
 from cairnferry.entry.following._table import FollowedTable
@@ -77,9 +77,9 @@
     _followers: list[Follower] = attrs.field(factory=list)
 
     def __attrs_post_init__(self):
-        pace = GivingPace(self.core.cfg.peers.link_bytes_per_s)
+        pace = DocumentRateLimit(self.core.cfg.peers.link_bytes_per_s)
         self._exchange = RulesExchange(pace)
-        self._handovers = HandoverPages(self.handover, pace.has_room)
+        self._handovers = HandoverPages(self.handover, pace.admit)
         self._targets = TargetRows(
             self.decoders.target, self.core.faulty_rows, self._take_targets
         )
@@ -95,23 +95,25 @@
         self._followers.append(self._rules_follower)
         evacuations = Evacuations(self.decoders.evacuated, self._evacuate)
         # Told first: a daemon that starts learns whom to spare before it has targets.
-        beside = FollowedTable(EVACUATIONS, evacuations.take)
+        beside = FollowedTable(EVACUATIONS, evacuations.apply_rows)
         self.tables[EVACUATIONS] = beside
         self._rules_follower.split(beside, lambda key: key == self.rules_key)
-        self.share(TARGETS, self.targets_feed, self._take_targets, TARGETS_COALESCE_S)
+        self.follow_shared_table(
+            TARGETS, self.targets_feed, self._take_targets, TARGETS_COALESCE_S
+        )
 
     def _evacuate(self, zones, version):
         self.core.evacuate(zones, version)
-        self.core.gossip.hurry()
+        self.core.gossip.trigger_round()
 
     def _is_on_duty(self):
-        return self.core.duty.is_mine()
+        return self.core.watcher_role.is_active()
 
     def _tell_failure(self):
-        if self.core.duty.note_failure():
-            self.core.gossip.hurry()
+        if self.core.watcher_role.report_store_failure():
+            self.core.gossip.trigger_round()
 
-    def share(
+    def follow_shared_table(
         self,
         name: str,
         feed: ChangeFeed,
@@ -207,10 +209,10 @@
                 "services": len(rules.services),
             },
         )
-        self.core.gossip.hurry()
+        self.core.gossip.trigger_round()
         return True
 
-    def decode_again(self) -> None:
+    def redecode_rules(self) -> None:
         """Put the rules in force once more, as what they are read with has changed."""
         decoded = self.decoders.rules(self._document)
         if self._rules is None or decoded.is_error():
@@ -223,7 +225,7 @@
     # -- targets ----------------------------------------------------------------
 
     def _take_targets(self, rows):
-        self._targets.take(rows)
+        self._targets.apply_rows(rows)
         self._install_targets()
 
     def _install_targets(self):
@@ -278,10 +280,10 @@
 
         What the store tells goes before it.
         """
-        self.tables[EVACUATIONS].take_news(handover.evacuations)
+        self.tables[EVACUATIONS].apply_update(handover.evacuations)
         if not self.apply(handover.rules):
             return False
-        self.tables[TARGETS].take_news(handover.targets)
+        self.tables[TARGETS].apply_update(handover.targets)
         log.info("taken over", extra={"from": source, "revision": self.revision})
         return True
 
@@ -311,8 +313,8 @@
             turns.end(link.address)
         if document is not None:
             self.apply(document)
-        elif asked < MAX_ASKED_AGAIN:
-            pause = BUSY_S * (0.5 + self.core.rng.random())
+        elif asked < MAX_BUSY_RETRIES:
+            pause = BUSY_RETRY_S * (0.5 + self.core.rng.random())
             gevent.spawn_later(pause, self._ask_again, link, offered, asked + 1)
 
     def _ask_again(self, link, offered, asked):
--- a/packages/entry/src/cairnferry/entry/following/_following.py
+++ b/packages/entry/src/cairnferry/entry/following/_following.py
@@ -31,7 +31,7 @@
 OUTAGE_MEMORY_S = 8.0
 # Seconds between two looks at whether it has become this daemon's duty to watch: a
 # small part of the time within which a change has to be in force.
-DUTY_LOOK_S = 0.15
+ROLE_CHECK_S = 0.15
 
 log = logging.getLogger(__name__)
 
@@ -133,7 +133,7 @@
         self._must_list = False
         if time.monotonic() - self._failed_at > OUTAGE_MEMORY_S:
             self._failures = 0
-        return DUTY_LOOK_S * (0.5 + self.rng.random())
+        return ROLE_CHECK_S * (0.5 + self.rng.random())
 
     def _one_call_or_restart(self):
         try:
@@ -194,10 +194,10 @@
         if position is None:
             self._must_list = False
             self._position = batch.version
-            self.table.take_listing(batch)
+            self.table.apply_listing(batch)
         else:
             self._position = max(position, batch.version)
-            self.table.take_changes(batch)
+            self.table.apply_changes(batch)
 
     def _wait(self):
         """Give the seconds to wait for changes; none while the store may be away."""
--- a/packages/entry/src/cairnferry/entry/following/_handover.py
+++ b/packages/entry/src/cairnferry/entry/following/_handover.py
@@ -17,11 +17,11 @@
 import gevent
 from expression import Error, Ok, Result
 
-from cairnferry.coordination import News, Row
+from cairnferry.coordination import Row, TableUpdate
 from cairnferry.entry._ports import DecodeFault
 from cairnferry.entry.http import JSON, Page
 from cairnferry.settings import Address
-from cairnferry.wire import Client, Reply, describe
+from cairnferry.wire import Client, Reply, describe_outcome
 
 HANDOVER_PATH = "/handover"
 # Query by which the compressed form is asked for; earlier releases pass it over.
@@ -47,14 +47,14 @@
     ----------
     rules : bytes
         The document that holds all rules.
-    targets, evacuations : News
+    targets, evacuations : TableUpdate
         All rows of targets, and those that evacuate zones, and the versions at which
         they are exact.
     """
 
     rules: bytes
-    targets: News
-    evacuations: News = News(True, (), 0)
+    targets: TableUpdate
+    evacuations: TableUpdate = TableUpdate(True, (), 0)
 
     def write(self) -> bytes:
         """Write it as JSON, for a daemon of an earlier release."""
@@ -121,7 +121,7 @@
     rows = tuple(
         Row(str(key), decode(value), int(written)) for key, value, written in entries
     )
-    return News(True, rows, int(version))
+    return TableUpdate(True, rows, int(version))
 
 
 @attrs.define
@@ -165,7 +165,7 @@
 
 
 @attrs.define
-class Newcomer:
+class HandoverClient:
     """Asks others for what is in force, until it is known.
 
     Parameters
@@ -201,7 +201,10 @@
         finally:
             client.close()
         if not isinstance(outcome, Reply) or outcome.status != OK_STATUS:
-            log.info("no handover", extra={"from": str(seed), "why": describe(outcome)})
+            log.info(
+                "no handover",
+                extra={"from": str(seed), "why": describe_outcome(outcome)},
+            )
             return False
         read = Handover.read(outcome.body)
         if read.is_error():
--- a/packages/entry/src/cairnferry/entry/following/_instances.py
+++ b/packages/entry/src/cairnferry/entry/following/_instances.py
@@ -37,7 +37,7 @@
     _rows: dict[str, Row] = attrs.field(factory=dict)
     _entries: dict[str, EntryRow] = attrs.field(factory=dict)
 
-    def take(self, rows: dict[str, Row]) -> None:
+    def apply_rows(self, rows: dict[str, Row]) -> None:
         """Take in all rows by key; those that changed are read anew."""
         entries = {}
         for key, row in rows.items():
--- a/packages/entry/src/cairnferry/entry/following/_rules_exchange.py
+++ b/packages/entry/src/cairnferry/entry/following/_rules_exchange.py
@@ -13,7 +13,7 @@
 import attrs
 
 from cairnferry.coordination import (
-    NO_NEWS,
+    NO_DOCUMENT_NEWS,
     DocumentFault,
     DocumentHistory,
     DocumentNews,
@@ -32,9 +32,9 @@
 PATIENCE_S = 0.3
 MAX_FETCHES = 2
 # Seconds after which a peer that had no room is asked again.
-BUSY_S = 0.15
+BUSY_RETRY_S = 0.15
 # How often: one that lost its rules meanwhile has none to give, and another will offer.
-MAX_ASKED_AGAIN = 8
+MAX_BUSY_RETRIES = 8
 # How a call ends that a peer of an earlier release does not know.
 NO_SUCH_CALL = "TApplicationException"
 
@@ -42,7 +42,7 @@
 
 
 @attrs.define
-class GivingPace:
+class DocumentRateLimit:
     """Decides whether there is room on the link to give a document now.
 
     Parameters
@@ -54,7 +54,7 @@
     link_bytes_per_s: float = math.inf
     _bucket: TokenBucket | None = None
 
-    def has_room(self, size: int, now: float) -> bool:
+    def admit(self, size: int, now: float) -> bool:
         """Tell whether a document may be given now; if so, count it.
 
         Parameters
@@ -76,7 +76,7 @@
 
 
 @attrs.define
-class FetchTurns:
+class FetchSlots:
     """Decides whether to fetch from a peer that offers something newer."""
 
     _begun: dict[str, float] = attrs.field(factory=dict)
@@ -98,8 +98,8 @@
 class RulesExchange:
     """Versions of the document, and the turns in which they are fetched and given."""
 
-    pace: GivingPace = attrs.field(factory=GivingPace)
-    turns: FetchTurns = attrs.field(factory=FetchTurns)
+    pace: DocumentRateLimit = attrs.field(factory=DocumentRateLimit)
+    turns: FetchSlots = attrs.field(factory=FetchSlots)
     history: DocumentHistory = attrs.field(factory=DocumentHistory)
 
     def fetch(self, link: PeerLink, revision: int) -> bytes | None:
@@ -116,7 +116,7 @@
             if exc.reason != NO_SUCH_CALL:
                 raise
             return link.snapshot() or None
-        if news == NO_NEWS:
+        if news == NO_DOCUMENT_NEWS:
             return None
         try:
             return self.history.read(news)
@@ -129,5 +129,5 @@
     def give(self, revision: int) -> DocumentNews:
         """Give what a peer lacks that holds a revision; nothing if there is no room."""
         news = self.history.news_since(revision)
-        has_room = self.pace.has_room(len(news.packed), time.monotonic())
-        return news if has_room else NO_NEWS
+        has_room = self.pace.admit(len(news.packed), time.monotonic())
+        return news if has_room else NO_DOCUMENT_NEWS
--- a/packages/entry/src/cairnferry/entry/following/_split_table.py
+++ b/packages/entry/src/cairnferry/entry/following/_split_table.py
@@ -32,17 +32,17 @@
         """The copy from which the feed goes on."""
         return self.main.copy
 
-    def take_listing(self, batch: Batch) -> None:
+    def apply_listing(self, batch: Batch) -> None:
         """Take in all rows as the store listed them."""
         main, beside = self._sort(batch)
-        self.beside.take_listing(beside)
-        self.main.take_listing(main)
+        self.beside.apply_listing(beside)
+        self.main.apply_listing(main)
 
-    def take_changes(self, batch: Batch) -> None:
+    def apply_changes(self, batch: Batch) -> None:
         """Take in changes that the store told."""
         main, beside = self._sort(batch)
-        self.beside.take_changes(beside)
-        self.main.take_changes(main)
+        self.beside.apply_changes(beside)
+        self.main.apply_changes(main)
 
     def hold_for(self, seconds: float) -> None:
         """Hold rows that vanish from now on, as the store was away until now."""
--- a/packages/entry/src/cairnferry/entry/following/_table.py
+++ b/packages/entry/src/cairnferry/entry/following/_table.py
@@ -7,7 +7,7 @@
 import attrs
 import gevent
 
-from cairnferry.coordination import Batch, News, Row, TableCopy, era_of
+from cairnferry.coordination import Batch, Row, TableReplica, TableUpdate, era_of
 
 # Seconds after the end of an outage for which a row that vanished is still held.
 # Rows lapse while their writers cannot reach the store; the platform says that those
@@ -48,23 +48,23 @@
 
     name: str
     on_change: Callable[[dict[str, Row]], None]
-    copy: TableCopy = attrs.field(factory=TableCopy)
+    copy: TableReplica = attrs.field(factory=TableReplica)
     _grace_until: float = 0.0
     _held: dict[str, Row] = attrs.field(factory=dict)
     _doubted: dict[str, "_Doubted"] = attrs.field(factory=dict)
     _shown: dict[str, Row] = attrs.field(factory=dict)
 
-    def take_listing(self, batch: Batch) -> None:
+    def apply_listing(self, batch: Batch) -> None:
         """Take in all rows as the store listed them."""
-        self._take(lambda: self.copy.take_listing(batch))
+        self._take(lambda: self.copy.apply_listing(batch))
 
-    def take_changes(self, batch: Batch) -> None:
+    def apply_changes(self, batch: Batch) -> None:
         """Take in changes that the store told."""
-        self._take(lambda: self.copy.take_changes(batch))
+        self._take(lambda: self.copy.apply_changes(batch))
 
-    def take_news(self, news: News) -> bool:
+    def apply_update(self, news: TableUpdate) -> bool:
         """Take in what another daemon told; tell whether that was newer."""
-        return self._take(lambda: self.copy.take_news(news))
+        return self._take(lambda: self.copy.apply_update(news))
 
     # -- grace --------------------------------------------------------------------
 
--- a/packages/entry/src/cairnferry/entry/following/_target_rows.py
+++ b/packages/entry/src/cairnferry/entry/following/_target_rows.py
@@ -52,7 +52,7 @@
     _rows: dict[str, Row] = attrs.field(factory=dict)
     _starts: dict[str, int] = attrs.field(factory=dict)
 
-    def take(self, rows: dict[str, Row]) -> None:
+    def apply_rows(self, rows: dict[str, Row]) -> None:
         """Take in all rows, by name."""
         targets = {}
         for key, row in rows.items():
--- a/packages/entry/src/cairnferry/entry/http/_answers.py
+++ b/packages/entry/src/cairnferry/entry/http/_answers.py
@@ -128,10 +128,10 @@
     Cause.RETRIES_EXHAUSTED: "destination_unavailable",
     Cause.TARGET_LOST: "destination_unavailable",
     Cause.CALLER_GONE: "http_request_error",
-    Cause.ENDS_TARGETS: "http_request_denied",
+    Cause.CRASHES_TARGETS: "http_request_denied",
     Cause.TARGET_LIMIT: "connection_limit_reached",
     Cause.EVACUATED: "destination_unavailable",
-    Cause.RESTING: "destination_unavailable",
+    Cause.BACKING_OFF: "destination_unavailable",
 }
 
 _UNKNOWN_CAUSES = {
--- a/packages/entry/src/cairnferry/entry/http/_pipeline.py
+++ b/packages/entry/src/cairnferry/entry/http/_pipeline.py
@@ -99,7 +99,7 @@
     """
 
     handler: object
-    may_run_beside: bool
+    may_run_concurrently: bool
     size: int
     is_ahead: bool = False
     is_cancellable: bool = False
@@ -225,7 +225,7 @@
                 if not self._may_start(index, exchange):
                     return
                 exchange.task = gevent.spawn(self._run, exchange)
-            if not exchange.may_run_beside:
+            if not exchange.may_run_concurrently:
                 return
 
     def _may_start(self, index, exchange):
@@ -233,8 +233,10 @@
             return False
         # A listener that ends starts nothing behind a request in progress: the
         # answer of that one can then be the last, and the caller sends the rest anew.
-        may_run_beside = exchange.may_run_beside and not exchange.handler.server.closing
-        return index == 0 or may_run_beside
+        may_run_concurrently = (
+            exchange.may_run_concurrently and not exchange.handler.server.closing
+        )
+        return index == 0 or may_run_concurrently
 
     def _run(self, exchange):
         try:
--- a/packages/entry/src/cairnferry/entry/http/_pipelined_server.py
+++ b/packages/entry/src/cairnferry/entry/http/_pipelined_server.py
@@ -158,8 +158,8 @@
         request.wsgi_input = Input(self.rfile, 0)
         request.environ = {HANDLER_KEY: request}
         request.application = self.server.application
-        may_run_beside = self.server.application.may_run_beside(request)
-        request._exchange = Exchange(request, may_run_beside, self._size())
+        may_run_concurrently = self.server.application.may_run_concurrently(request)
+        request._exchange = Exchange(request, may_run_concurrently, self._size())
         self._pipeline.add(request._exchange)
 
     def _size(self):
@@ -220,9 +220,9 @@
 class PipelinedServer(HttpServer):
     """Listener for callers.
 
-    Its application has `limits`, the limits of bodies, and a method `may_run_beside`,
-    which is called with each request that was read and tells whether it may run while
-    others of its connection do.
+    Its application has `limits`, the limits of bodies, and a method
+    `may_run_concurrently`, which is called with each request that was read and tells
+    whether it may run while others of its connection do.
     """
 
     handler_class = PipelinedHandler
--- a/packages/entry/src/cairnferry/entry/members/_cluster.py
+++ b/packages/entry/src/cairnferry/entry/members/_cluster.py
@@ -13,7 +13,7 @@
     Membership,
     MemberState,
     Note,
-    NoteBoard,
+    NoteRegistry,
 )
 from cairnferry.entry._ports import InForce, SharedTable
 from cairnferry.entry.telemetry import RateLimit
@@ -48,7 +48,7 @@
 
 
 @attrs.frozen
-class Listed:
+class ListedInstance:
     """What the platform's list says of a daemon.
 
     Attributes
@@ -76,20 +76,20 @@
         Who is there.
     configuration : InForce
         Tells the revision in force here.
-    notes : NoteBoard
+    notes : NoteRegistry
         Notes on targets.
     spare : callable
         Gives the share of the own capacity that is free, 0 to 1.
 
     Attributes
     ----------
-    listed : dict of str to Listed
+    listed : dict of str to ListedInstance
         Instances that the platform or the registry lists, by name.
     on_listed : callable
         Called after `listed` was renewed.
-    suspicions : NoteBoard or None
+    suspicions : NoteRegistry or None
         Notes on requests under which targets ended.
-    limits : NoteBoard or None
+    limits : NoteRegistry or None
         Notes on limits that targets name.
     tables : dict of str to SharedTable
         Copies of tables that daemons tell each other.
@@ -100,18 +100,18 @@
 
     membership: Membership
     configuration: InForce
-    notes: NoteBoard
+    notes: NoteRegistry
     spare: object
     confirmation: HeadConfirmation = attrs.field(factory=HeadConfirmation)
-    suspicions: NoteBoard | None = None
-    limits: NoteBoard | None = None
-    listed: dict[str, Listed] = attrs.field(factory=dict)
+    suspicions: NoteRegistry | None = None
+    limits: NoteRegistry | None = None
+    listed: dict[str, ListedInstance] = attrs.field(factory=dict)
     tables: dict[str, SharedTable] = attrs.field(factory=dict)
     told_instances: int = 0
     on_listed: Callable[[], None] = lambda: None
     _health: dict[str, PeerHealth] = attrs.field(factory=dict)
 
-    def list_instances(self, listed: dict[str, Listed]) -> None:
+    def list_instances(self, listed: dict[str, ListedInstance]) -> None:
         """Take in all that the platform or the registry lists."""
         self.listed = listed
         self.on_listed()
@@ -124,14 +124,14 @@
             revision=self.configuration.revision,
             confirmed_age=self.confirmation.age(now),
             spare=self._own_spare(now),
-            news=tuple(self.membership.news_for(zone)),
-            notes=self.notes.to_tell(now),
+            news=tuple(self.membership.updates_for(zone)),
+            notes=self.notes.next_notes(now),
             tables=tuple(
                 TableState(name, table.copy.version, table.grace_left)
                 for name, table in self.tables.items()
             ),
-            suspicions=self.suspicions.to_tell(now) if self.suspicions else (),
-            limits=self.limits.to_tell(now) if self.limits else (),
+            suspicions=self.suspicions.next_notes(now) if self.suspicions else (),
+            limits=self.limits.next_notes(now) if self.limits else (),
         )
 
     def _own_spare(self, now):
@@ -149,9 +149,9 @@
         for note in theirs.notes:
             fresh = self.post(note) or fresh
         for note in theirs.suspicions:
-            fresh = self.accuse(note) or fresh
+            fresh = self.post_suspicion(note) or fresh
         for note in theirs.limits:
-            fresh = self.tell_limit(note) or fresh
+            fresh = self.post_limit(note) or fresh
         confirmed_at = now - theirs.confirmed_age
         health = PeerHealth(theirs.revision, theirs.spare, confirmed_at)
         self._health[theirs.sender.name] = health
@@ -171,18 +171,18 @@
             if self.membership.get(name) is not None
         }
         now = time.monotonic()
-        self.notes.drop_lapsed(now)
+        self.notes.drop_expired(now)
         if self.suspicions is not None:
-            self.suspicions.drop_lapsed(now)
+            self.suspicions.drop_expired(now)
         if self.limits is not None:
-            self.limits.drop_lapsed(now)
+            self.limits.drop_expired(now)
 
     def post(self, note: Note) -> bool:
         """Take in a note on a target; give back whether it was new."""
         members = len(self.membership.others())
         return self.notes.post(note, time.monotonic(), members)
 
-    def accuse(self, note: Note, again: bool = False) -> bool:
+    def post_suspicion(self, note: Note, again: bool = False) -> bool:
         """Take in a note on a request under which targets ended; tell if it was new.
 
         Parameters
@@ -194,7 +194,7 @@
         """
         return self._post_on(self.suspicions, note, again)
 
-    def tell_limit(self, note: Note, again: bool = False) -> bool:
+    def post_limit(self, note: Note, again: bool = False) -> bool:
         """Take in a note on a limit that a target names; tell whether it was new.
 
         Parameters
@@ -212,7 +212,7 @@
         now = time.monotonic()
         members = len(self.membership.others())
         if again:
-            board.tell_again((note.subject, note.source), now, members)
+            board.spread_again((note.subject, note.source), now, members)
         return board.post(note, now, members)
 
     def count_instances(self) -> int:
@@ -278,7 +278,7 @@
                     "source": note.source,
                     "remaining_s": round(note.remaining, 1),
                 }
-                for note in self.notes.in_force(now)
+                for note in self.notes.active_notes(now)
             ],
         }
 
--- a/packages/entry/src/cairnferry/entry/members/_enrolment.py
+++ b/packages/entry/src/cairnferry/entry/members/_enrolment.py
@@ -14,10 +14,10 @@
 from cairnferry.coordination import MemberState
 from cairnferry.entry._ports import EntryRow, KeyExists, Registry
 from cairnferry.entry.http import Page
-from cairnferry.entry.members._cluster import Cluster, Listed
-from cairnferry.entry.members._duty import SETTLE_S, WatchDuty
+from cairnferry.entry.members._cluster import Cluster, ListedInstance
 from cairnferry.entry.members._gossip import Gossip
 from cairnferry.entry.members._joining import Joiner, Welcome
+from cairnferry.entry.members._watcher_role import SETTLE_S, WatcherRole
 from cairnferry.peers import KeyRing, SharedKey
 
 # Pause in seconds after a failed call, doubled up to the longest, with jitter: all
@@ -26,7 +26,7 @@
 MAX_RETRY_S = 2.0
 
 # Seconds between two looks at whose rows are out of date.
-KEEP_S = 5.0
+MAINTENANCE_S = 5.0
 # Seconds for which nobody has heard of an instance after which its row is removed: half
 # of the time for which members remember that it is gone, and longer than a restart.
 GONE_S = 60.0
@@ -82,7 +82,7 @@
         For jitter.
     joiner : Joiner, optional
         Asks other instances; without it the registry alone is asked.
-    duty : WatchDuty, optional
+    duty : WatcherRole, optional
         Told when this instance knows of the others.
 
     Attributes
@@ -98,7 +98,7 @@
     gossip: Gossip
     rng: random.Random
     joiner: Joiner | None = None
-    duty: WatchDuty | None = None
+    duty: WatcherRole | None = None
     joined_by: str | None = None
     _incarnation: int = 0
     _is_leaving: bool = False
@@ -113,7 +113,7 @@
         """Try until this instance is enrolled, then keep the rows up to date."""
         self.enrol()
         while True:
-            gevent.sleep(KEEP_S)
+            gevent.sleep(MAINTENANCE_S)
             self.keep(time.monotonic())
 
     def enrol(self) -> None:
@@ -127,11 +127,11 @@
             pause = min(MAX_RETRY_S, 2 * pause)
         self._begin_duty(time.monotonic())
 
-    def _begin_duty(self, told_at):
+    def _begin_duty(self, joined_at):
         if self.duty is not None and not self.duty.is_ready:
-            self.duty.told_at = told_at
+            self.duty.joined_at = joined_at
             self.duty.is_ready = True
-            self.gossip.settled_at = told_at + SETTLE_S
+            self.gossip.cross_zone_after = joined_at + SETTLE_S
 
     def _join(self):
         """Join by another instance, if there is one that is known from the start."""
@@ -173,7 +173,7 @@
             self.keys.set(enrolled.ok.key)
         self.take_entries(enrolled.ok.entries)
         self.gossip.meet()
-        log.info("enrolled", extra={"others": len(self.gossip.strangers)})
+        log.info("enrolled", extra={"others": len(self.gossip.listed_peers)})
         return True
 
     def refresh(self) -> None:
@@ -190,9 +190,9 @@
         gone = self._long_gone(now)
         kept = [entry for entry in entries if entry.name not in gone]
         self.cluster.list_instances(
-            {e.name: Listed(e.zone, e.leaving, e.peer_address) for e in kept}
+            {e.name: ListedInstance(e.zone, e.leaving, e.peer_address) for e in kept}
         )
-        self.gossip.strangers = {
+        self.gossip.listed_peers = {
             entry.peer_address: entry.zone
             for entry in kept
             if entry.name != self.me.name and not entry.leaving
--- a/packages/entry/src/cairnferry/entry/members/_gossip.py
+++ b/packages/entry/src/cairnferry/entry/members/_gossip.py
@@ -10,7 +10,7 @@
 from gevent.event import Event
 from gevent.pool import Pool
 
-from cairnferry.coordination import DocumentNews, LogRow, MemberState, News
+from cairnferry.coordination import DocumentNews, LogRow, MemberState, TableUpdate
 from cairnferry.entry._ports import EntryRow, Records
 from cairnferry.entry.members._cluster import Cluster
 from cairnferry.peers import (
@@ -78,14 +78,14 @@
     interval: float
     fanout: int
     seeds: tuple[str, ...]
-    strangers: dict[str, str] = attrs.field(factory=dict)
-    settled_at: float = -math.inf
+    listed_peers: dict[str, str] = attrs.field(factory=dict)
+    cross_zone_after: float = -math.inf
     permits: Callable[[str, list[PermitsWanted]], list[PermitsGiven]] = (
         lambda asker, wanted: []
     )
     _wants_strangers: bool = False
     rounds: int = 0
-    _hurry: Event = attrs.field(factory=Event)
+    _round_due: Event = attrs.field(factory=Event)
     _calls: Pool = attrs.field(factory=lambda: Pool(MAX_CALLS))
     _asking: set[str] = attrs.field(factory=set)
 
@@ -94,12 +94,12 @@
         while True:
             self.one_round()
             gevent.sleep(MIN_ROUND_S)
-            self._hurry.wait(self.interval)
-            self._hurry.clear()
+            self._round_due.wait(self.interval)
+            self._round_due.clear()
 
-    def hurry(self) -> None:
+    def trigger_round(self) -> None:
         """Start the next round at once: there is news that others wait for."""
-        self._hurry.set()
+        self._round_due.set()
 
     def meet(self, teller: EntryRow | None = None) -> None:
         """Call those that this daemon has just been told of, at once.
@@ -115,14 +115,14 @@
         self._wants_strangers = True
         if teller is not None:
             self._calls.spawn(self._call, None, teller.peer_address, teller.zone)
-        self.hurry()
+        self.trigger_round()
 
     def one_round(self) -> None:
         """Call some peers, each in a task of its own."""
         now = time.monotonic()
         self.rounds += 1
         membership = self.cluster.membership
-        membership.pass_time(now)
+        membership.apply_timeouts(now)
         chosen = membership.next_peers(self.fanout)
         calls = [(member.name, member.peer_address, member.zone) for member in chosen]
         if self._calls_other_zones(now):
@@ -139,20 +139,20 @@
         self.cluster.forget_old()
 
     def _calls_other_zones(self, now):
-        if now < self.settled_at:
+        if now < self.cross_zone_after:
             return False
         membership = self.cluster.membership
-        return membership.me.name in membership.own_zone()[:FAR_CALLERS]
+        return membership.me.name in membership.own_zone_names()[:FAR_CALLERS]
 
     def _far_calls(self):
         """Call one of another zone, and one of a zone of which nobody is known."""
-        member = self.cluster.membership.next_far_peer()
+        member = self.cluster.membership.next_cross_zone_peer()
         calls = [(member.name, member.peer_address, member.zone)] if member else []
         me = self.cluster.membership.me.zone
         live = {m.zone for m in self.cluster.membership.live()}
         unknown = [
             (None, address, zone)
-            for address, zone in self.strangers.items()
+            for address, zone in self.listed_peers.items()
             if zone != me and zone not in live
         ]
         return calls + self._some(unknown, 1)
@@ -163,7 +163,7 @@
         others = self.cluster.membership.others()
         alive = {m.peer_address for m in others if m.state is not MemberState.GONE}
         gone = {m.peer_address: m.zone for m in others if m.state is MemberState.GONE}
-        near = [a for a, zone in (self.strangers | gone).items() if zone == me.zone]
+        near = [a for a, zone in (self.listed_peers | gone).items() if zone == me.zone]
         candidates = [a for a in near if a not in alive and a != me.peer_address]
         seeds = [a for a in self.seeds if a not in alive and a != me.peer_address]
         chosen = self._some(sorted(candidates), MAX_STRANGERS)
@@ -198,7 +198,7 @@
             self.cluster.take_in(theirs)
         fresh = self._fetch_tables(theirs, link) or fresh
         if fresh or self.cluster.configuration.revision > before:
-            self.hurry()
+            self.trigger_round()
 
     def _fetch_tables(self, theirs, link):
         fresh = False
@@ -216,7 +216,7 @@
         """Fetch what is new in a table; one peer at a time is asked for it."""
         self._asking.add(name)
         try:
-            return table.take_news(link.news_since(name, table.copy.version))
+            return table.apply_update(link.news_since(name, table.copy.version))
         finally:
             self._asking.discard(name)
 
@@ -229,7 +229,7 @@
             # Its answer must not wait for the fetching.
             gevent.spawn(self._fetch, theirs)
         if fresh:
-            self.hurry()
+            self.trigger_round()
         return self.cluster.heartbeat(theirs.sender.zone)
 
     def _knows_more(self, theirs):
@@ -249,14 +249,14 @@
         except PeerCallFailed as exc:
             log.info("pull failed", extra={"peer": exc.address, "why": exc.reason})
 
-    def news_since(self, table: str, version: int) -> News:
+    def news_since(self, table: str, version: int) -> TableUpdate:
         """Give what a copy of a table lacks that has the version."""
         known = self.cluster.tables.get(table)
         if known is None:
-            return News(False, (), 0)
+            return TableUpdate(False, (), 0)
         return known.copy.news_since(version)
 
-    def give_permits(
+    def issue_permits(
         self, asker: str, wanted: list[PermitsWanted]
     ) -> list[PermitsGiven]:
         """Give a daemon permits to send to limited targets."""
--- a/packages/entry/src/cairnferry/entry/members/_joining.py
+++ b/packages/entry/src/cairnferry/entry/members/_joining.py
@@ -13,7 +13,7 @@
 from cairnferry.entry._ports import DecodeFault, EntryRow
 from cairnferry.peers import MIN_KEY_BYTES
 from cairnferry.settings import Address
-from cairnferry.wire import Client, Reply, describe
+from cairnferry.wire import Client, Reply, describe_outcome
 
 JOIN_PATH = "/join"
 # Seconds for one answer: there is nothing to wait for, but the one who is asked may be
@@ -140,7 +140,9 @@
         finally:
             client.close()
         if not isinstance(outcome, Reply):
-            log.debug("not joined", extra={"by": str(other), "why": describe(outcome)})
+            log.debug(
+                "not joined", extra={"by": str(other), "why": describe_outcome(outcome)}
+            )
             return None
         if outcome.status != OK_STATUS:
             return outcome.status
--- a/packages/entry/src/cairnferry/entry/members/_permit_givers.py
+++ b/packages/entry/src/cairnferry/entry/members/_permit_issuers.py
@@ -14,7 +14,7 @@
 
 
 @attrs.frozen
-class Giver:
+class PermitIssuer:
     """A daemon that gives permits.
 
     Attributes
@@ -29,7 +29,7 @@
 
 
 @attrs.define
-class PermitGivers:
+class PermitIssuers:
     """Finds the one by rank, in the target's availability zone.
 
     The daemons of a zone know each other in full and hear soon who is lost. Those of
@@ -45,7 +45,7 @@
     cluster: Cluster
     _doubted: dict[str, float] = attrs.field(factory=dict)
 
-    def of(self, target: str, zone: str) -> Giver | None:
+    def issuer_for(self, target: str, zone: str) -> PermitIssuer | None:
         """Give the one to ask about a target; None if nobody is left."""
         now = time.monotonic()
         names = [
@@ -56,18 +56,18 @@
         first = lowest_ranked(target, names, 1)
         return self._giver(first[0]) if first else None
 
-    def is_me(self, target: str, zone: str) -> bool:
+    def is_issuer(self, target: str, zone: str) -> bool:
         """Tell whether this daemon gives the permits for a target."""
         me = self.cluster.membership.me.name
         return lowest_ranked(target, self._candidates(zone), 1) == [me]
 
-    def doubt(self, name: str) -> None:
+    def mark_unresponsive(self, name: str) -> None:
         """Take in that one did not answer."""
         now = time.monotonic()
         self._doubted = {n: until for n, until in self._doubted.items() if until > now}
         self._doubted[name] = now + DOUBT_S
 
-    def part_in_view(self, zone: str) -> float:
+    def visible_share(self, zone: str) -> float:
         """Give the part of a target's limit that this daemon may give permits for.
 
         In a zone that is cut in two each part has a first one by rank. Were both to
@@ -75,7 +75,7 @@
         each gives what falls to those that it sees, of those that are listed.
         """
         membership = self.cluster.membership
-        live = len(membership.own_zone())
+        live = len(membership.own_zone_names())
         listed = self._listed_in(membership.me.zone)
         return max(1, live) / max(1, live, len(listed))
 
@@ -83,13 +83,13 @@
         """List the daemons of a zone; all, if the zone has none."""
         membership = self.cluster.membership
         if zone == membership.me.zone:
-            return membership.own_zone()
+            return membership.own_zone_names()
         return self._usable(self._listed_in(zone)) or self._everywhere()
 
     def _everywhere(self):
         mine = self.cluster.membership.me.zone
         others = [n for n, each in self.cluster.listed.items() if each.zone != mine]
-        return [*self._usable(others), *self.cluster.membership.own_zone()]
+        return [*self._usable(others), *self.cluster.membership.own_zone_names()]
 
     def _listed_in(self, zone):
         listed = self.cluster.listed.items()
@@ -106,6 +106,6 @@
     def _giver(self, name):
         member = self.cluster.membership.get(name)
         if member is not None:
-            return Giver(name, member.zone, member.peer_address)
+            return PermitIssuer(name, member.zone, member.peer_address)
         listed = self.cluster.listed[name]
-        return Giver(name, listed.zone, listed.peer_address)
+        return PermitIssuer(name, listed.zone, listed.peer_address)
--- a/packages/entry/src/cairnferry/entry/members/_duty.py
+++ b/packages/entry/src/cairnferry/entry/members/_watcher_role.py
@@ -23,7 +23,7 @@
 # store that is away altogether is asked by each candidate in turn, about that often.
 REFUSED_S = 6.0
 # Seconds for which what was found is taken for true: several followers ask.
-LOOK_S = 0.1
+CHECK_S = 0.1
 # Source of the note that a daemon got no answer from the store.
 NO_STORE = "no-store"
 # Seconds after the start for which a daemon that was told of the others by one of them
@@ -35,7 +35,7 @@
 
 
 @attrs.define
-class WatchDuty:
+class WatcherRole:
     """Tells whether it is this daemon's turn to watch the store.
 
     The rank among the live daemons of the zone decides, without a lease: doing it twice
@@ -57,31 +57,31 @@
     """
 
     cluster: Cluster
-    told_at: float = -math.inf
+    joined_at: float = -math.inf
     is_ready: bool = False
     _since: float = attrs.field(factory=lambda: time.monotonic())
     _looked_at: float = -math.inf
     _was_mine: bool = False
 
-    def is_mine(self) -> bool:
+    def is_active(self) -> bool:
         """Tell whether to watch now."""
         now = time.monotonic()
-        if now >= self._looked_at + LOOK_S:
+        if now >= self._looked_at + CHECK_S:
             self._looked_at = now
-            self._was_mine = self.is_mine_at(now)
+            self._was_mine = self.is_active_at(now)
         return self._was_mine
 
-    def is_mine_at(self, now: float) -> bool:
+    def is_active_at(self, now: float) -> bool:
         """Tell whether to watch at a monotonic time in seconds."""
-        if not self.is_ready or now < self.told_at + SETTLE_S:
+        if not self.is_ready or now < self.joined_at + SETTLE_S:
             return False
-        if self.told_at == -math.inf and now < self._since + STAY * SETTLE_S:
+        if self.joined_at == -math.inf and now < self._since + STAY * SETTLE_S:
             # Those that rank before it may have started with it, and not watch yet.
             return True
         membership = self.cluster.membership
-        candidates = membership.own_zone()[:CANDIDATES]
+        candidates = membership.own_zone_names()[:CANDIDATES]
         notes = self.cluster.notes
-        served = [n for n in candidates if not notes.holds(n, NO_STORE, now)]
+        served = [n for n in candidates if not notes.is_in_effect(n, NO_STORE, now)]
         # With the store away for all, the first go on trying.
         return membership.me.name in (served or candidates)[: self._watchers(now)]
 
@@ -94,7 +94,7 @@
             return usual
         return usual + 1 + int((age - LATE_S) / LATER_S)
 
-    def note_failure(self) -> bool:
+    def report_store_failure(self) -> bool:
         """Tell the others that the store gave no answer; give back if that is new."""
         name = self.cluster.membership.me.name
         return self.cluster.post(Note(name, NO_STORE, REFUSED_S))
--- a/packages/entry/src/cairnferry/entry/operators/_submissions.py
+++ b/packages/entry/src/cairnferry/entry/operators/_submissions.py
@@ -6,8 +6,8 @@
 from gevent.event import AsyncResult
 from gevent.queue import Queue
 
-from cairnferry.coordination import GroupCommit, OutcomeUnknown, Pending
-from cairnferry.entry.changelog import Configuration, Distribution
+from cairnferry.coordination import GroupCommit, OutcomeUnknown, PendingChange
+from cairnferry.entry.changelog import ChangeLogSync, Configuration
 from cairnferry.records import Change
 
 MAX_GATHERED = 256
@@ -19,7 +19,7 @@
 
     Parameters
     ----------
-    distribution : Distribution
+    distribution : ChangeLogSync
         Brings this daemon up to the head before it checks a change.
     configuration : Configuration
         What is in force here.
@@ -27,7 +27,7 @@
         Called after a commit, to tell others at once.
     """
 
-    distribution: Distribution
+    distribution: ChangeLogSync
     configuration: Configuration
     on_accepted: object
     _queue: Queue = attrs.field(factory=Queue)
@@ -43,7 +43,7 @@
             Seconds after which the outcome is called unknown.
         """
         result = AsyncResult()
-        self._queue.put(Pending(change.to_json(), result.set))
+        self._queue.put(PendingChange(change.to_json(), result.set))
         try:
             return result.get(timeout=timeout)
         except gevent.Timeout:
--- a/packages/entry/src/cairnferry/entry/targets/__init__.py
+++ b/packages/entry/src/cairnferry/entry/targets/__init__.py
@@ -1,48 +1,48 @@
 """The targets of a service: connections, status checks, and the policy at work."""
 
-from cairnferry.entry.targets._asking import StatusChecks
+from cairnferry.entry.targets._advisory import read_advisory
+from cairnferry.entry.targets._advisory_recorder import AdvisoryRecorder
 from cairnferry.entry.targets._conventions import (
     CallerConvention,
     CheckResult,
-    OwnCallers,
-    OwnTargets,
+    DefaultCallerConvention,
+    DefaultTargetConvention,
     TargetConvention,
 )
-from cairnferry.entry.targets._endings import Endings, LostRun
-from cairnferry.entry.targets._exchange_result import lost, not_run
+from cairnferry.entry.targets._crash_detector import CrashDetector, InterruptedRequest
+from cairnferry.entry.targets._exchange_result import lost_result, not_run_result
+from cairnferry.entry.targets._limit_header import LimitFault, read_limit
 from cairnferry.entry.targets._limit_notes import limit_board
-from cairnferry.entry.targets._limit_words import LimitFault, read_limit
 from cairnferry.entry.targets._limiter import Limiter
-from cairnferry.entry.targets._permits import PermitAsking, PermitGiving
-from cairnferry.entry.targets._probing import Probing
+from cairnferry.entry.targets._permits import LocalPermitIssuer, PermitRequester
+from cairnferry.entry.targets._probing import HealthProber
 from cairnferry.entry.targets._runtime import ServiceRuntime
 from cairnferry.entry.targets._services import Services
-from cairnferry.entry.targets._target_words import read_words
+from cairnferry.entry.targets._status_checks import StatusChecks
 from cairnferry.entry.targets._upstreams import OutboundRequest, Upstreams
-from cairnferry.entry.targets._word_listener import WordListener
 
 __all__ = [
     "CallerConvention",
     "CheckResult",
-    "Endings",
+    "CrashDetector",
     "LimitFault",
     "Limiter",
-    "LostRun",
+    "InterruptedRequest",
     "OutboundRequest",
-    "OwnCallers",
-    "OwnTargets",
-    "PermitAsking",
-    "PermitGiving",
-    "Probing",
+    "DefaultCallerConvention",
+    "DefaultTargetConvention",
+    "PermitRequester",
+    "LocalPermitIssuer",
+    "HealthProber",
     "ServiceRuntime",
     "Services",
     "StatusChecks",
     "TargetConvention",
     "Upstreams",
-    "WordListener",
+    "AdvisoryRecorder",
     "limit_board",
-    "lost",
-    "not_run",
+    "lost_result",
+    "not_run_result",
     "read_limit",
-    "read_words",
+    "read_advisory",
 ]
--- a/packages/entry/src/cairnferry/entry/targets/_target_words.py
+++ b/packages/entry/src/cairnferry/entry/targets/_advisory.py
@@ -5,7 +5,7 @@
 from datetime import UTC, datetime
 from email.utils import parsedate_to_datetime
 
-from cairnferry.policy import NO_WORDS, TargetWords, WordFault
+from cairnferry.policy import NO_ADVISORY, AdvisoryFault, TargetAdvisory
 
 RETRY_AFTER = "retry-after"
 # Longest rest in seconds that is believed: a target with a wrong header would be out of
@@ -18,13 +18,13 @@
 _DECIMAL = re.compile(r"[0-9]{1,12}(\.[0-9]{1,9})?", re.ASCII)
 
 
-def read_words(
+def read_advisory(
     status: int,
     headers: list[tuple[str, str]],
     rest_statuses: Container[int],
     leaving_names: Container[str],
     leaving_s: float,
-) -> TargetWords:
+) -> TargetAdvisory:
     """Read the headers of a target's own answer.
 
     Parameters
@@ -46,16 +46,16 @@
         if name == RETRY_AFTER and status in rest_statuses:
             seconds = _seconds(word)
             if seconds is None:
-                faults.append(WordFault(name, word))
+                faults.append(AdvisoryFault(name, word))
             else:
                 rest = max(rest, seconds)
         elif name in leaving_names:
             is_leaving = is_leaving or word == LEAVING
             if word not in (LEAVING, NOT_LEAVING):
-                faults.append(WordFault(name, word))
+                faults.append(AdvisoryFault(name, word))
     if not rest and not is_leaving and not faults:
-        return NO_WORDS
-    return TargetWords(rest, leaving_s if is_leaving else 0.0, tuple(faults))
+        return NO_ADVISORY
+    return TargetAdvisory(rest, leaving_s if is_leaving else 0.0, tuple(faults))
 
 
 def _seconds(text):
--- a/packages/entry/src/cairnferry/entry/targets/_word_listener.py
+++ b/packages/entry/src/cairnferry/entry/targets/_advisory_recorder.py
@@ -9,7 +9,7 @@
 from cairnferry.entry.targets._conventions import TargetConvention
 from cairnferry.entry.targets._runtime import ServiceRuntime
 from cairnferry.entry.telemetry import Metrics, RateLimit
-from cairnferry.policy import Attempt, TargetHolds, TargetWords
+from cairnferry.policy import AdvisoryRegistry, Attempt, TargetAdvisory
 from cairnferry.records import Target
 from cairnferry.wire import Outcome
 
@@ -17,19 +17,19 @@
 
 
 @attrs.define
-class WordListener:
+class AdvisoryRecorder:
     """Brings what targets say of themselves to the decisions.
 
     Parameters
     ----------
     metrics : Metrics
         Counts what they say.
-    holds : TargetHolds
+    holds : AdvisoryRegistry
         What they have asked of this daemon.
     """
 
     metrics: Metrics
-    holds: TargetHolds = attrs.field(factory=TargetHolds)
+    advisories: AdvisoryRegistry = attrs.field(factory=AdvisoryRegistry)
     _log_limit: RateLimit = attrs.field(factory=RateLimit)
 
     def note_outcome(
@@ -59,12 +59,12 @@
             The ID that its caller gave the request.
         """
         target = attempt.target.record
-        self.note(target, convention.words_of(outcome, target), runtime, request_id)
+        self.note(target, convention.advisory_of(outcome, target), runtime, request_id)
 
     def note(
         self,
         target: Target,
-        words: TargetWords,
+        words: TargetAdvisory,
         runtime: ServiceRuntime,
         request_id: str | None = None,
     ) -> None:
@@ -72,29 +72,29 @@
         for fault in words.faults:
             self.metrics.target_words["faulty"] += 1
             self._log_fault(target, fault)
-        for word, seconds in (("rest", words.rest_s), ("leaving", words.leaving_s)):
+        for word, seconds in (("rest", words.back_off_s), ("leaving", words.leaving_s)):
             self.metrics.target_words[word] += bool(seconds)
-        if words.rest_s or words.leaving_s:
+        if words.back_off_s or words.leaving_s:
             now = time.monotonic()
-            runtime.policy.note_words(target.identity, words, now, request_id)
+            runtime.policy.note_advisory(target.identity, words, now, request_id)
 
-    def keep(self, listed: Iterable[Target]) -> None:
+    def maintain(self, listed: Iterable[Target]) -> None:
         """Tell whose rest is over, and forget targets that are long gone."""
         now = time.monotonic()
-        for identity in self.holds.rests.take_ended(now):
+        for identity in self.advisories.back_offs.pop_expired(now):
             log.info("target has rested", extra={"target": identity})
-        leaving = self.holds.leaving
-        leaving.take_ended(now)
+        leaving = self.advisories.leaving
+        leaving.pop_expired(now)
         if leaving.in_force(now):
             leaving.forget_unlisted({target.identity for target in listed}, now)
 
     def snapshot(self) -> dict:
         """Give what holds now, as plain values."""
         now = time.monotonic()
-        resting = self.holds.rests.in_force(now)
+        resting = self.advisories.back_offs.in_force(now)
         return {
             "resting_s": {t: round(until - now, 3) for t, until in resting.items()},
-            "leaving": sorted(self.holds.leaving.in_force(now)),
+            "leaving": sorted(self.advisories.leaving.in_force(now)),
         }
 
     def _log_fault(self, target, fault):
--- a/packages/entry/src/cairnferry/entry/targets/_cold_targets.py
+++ b/packages/entry/src/cairnferry/entry/targets/_cold_targets.py
@@ -10,7 +10,7 @@
 from cairnferry.coordination import Note
 from cairnferry.entry.targets._limit_notes import cold_note
 from cairnferry.entry.telemetry import Metrics, RateLimit
-from cairnferry.policy import Cold, TargetLimits
+from cairnferry.policy import ColdPeriod, TargetLimits
 from cairnferry.records import Service, Target
 
 log = logging.getLogger(__name__)
@@ -61,7 +61,7 @@
         # Counted from the answer: the target cannot be warm before that.
         until = now + warmup_s if warmup_s else sent
         identity = target.identity
-        if self.limits.cold.note_word(identity, until, service.warmup_per_s, now):
+        if self.limits.cold.note_own_report(identity, until, service.warmup_per_s, now):
             self._note_cold(identity, by="check")
             cold = self.limits.cold.get(identity)
             self.tell(cold_note(identity, cold, now), False)
@@ -85,10 +85,10 @@
         if self.limits.cold.note_row(target.identity, warm_at, per_s, now):
             self._note_cold(target.identity, by="row")
 
-    def learn(self, identity: str, told: Cold, by: str) -> None:
+    def learn(self, identity: str, told: ColdPeriod, by: str) -> None:
         """Take in what another daemon knows."""
         now = time.monotonic()
-        if self.limits.cold.hear(identity, told.until, told.per_s, now):
+        if self.limits.cold.receive(identity, told.until, told.per_s, now):
             self._note_cold(identity, by)
 
     def drop_warm(self) -> None:
--- a/packages/entry/src/cairnferry/entry/targets/_conventions.py
+++ b/packages/entry/src/cairnferry/entry/targets/_conventions.py
@@ -15,23 +15,23 @@
     RequestHead,
     read_request_head,
 )
+from cairnferry.entry.targets._advisory import read_advisory
 from cairnferry.entry.targets._exchange_result import (
     REPORT_HEADER,
     classify,
     read_report,
 )
-from cairnferry.entry.targets._limit_words import LimitFault, read_limit
-from cairnferry.entry.targets._target_words import read_words
+from cairnferry.entry.targets._limit_header import LimitFault, read_limit
 from cairnferry.policy import (
-    NO_WORDS,
+    NO_ADVISORY,
     Attempt,
     AttemptKind,
     AttemptResult,
     LoadReport,
-    TargetWords,
+    TargetAdvisory,
 )
 from cairnferry.records import Target
-from cairnferry.wire import AnswerRules, Outcome, Reply
+from cairnferry.wire import Outcome, Reply, ResponseRules
 
 MS_PER_S = 1000
 HTTP_OK = 200
@@ -63,17 +63,17 @@
         Limit that it names.
     warmup_s : float or None
         Seconds for which it is still cold; None if it does not tell.
-    words : TargetWords
+    words : TargetAdvisory
         What it says of itself.
     """
 
     report: LoadReport | None
-    well: bool
-    misplaced: bool = False
+    is_healthy: bool
+    address_reused: bool = False
     heard: bool = False
     limit: float | LimitFault | None = None
     warmup_s: float | None = None
-    words: TargetWords = NO_WORDS
+    advisory: TargetAdvisory = NO_ADVISORY
 
 
 class CallerConvention(typing.Protocol):
@@ -91,14 +91,14 @@
     def retry_after(self, seconds: float) -> str:
         """Write the value of Retry-After."""
 
-    def own_headers(self, head: RequestHead | None) -> list[tuple[str, str]]:
+    def local_answer_headers(self, head: RequestHead | None) -> list[tuple[str, str]]:
         """Give further headers of an answer that the system makes itself."""
 
 
 class TargetConvention(typing.Protocol):
     """How targets speak."""
 
-    def rules(self, head: RequestHead) -> AnswerRules:
+    def rules(self, head: RequestHead) -> ResponseRules:
         """Give what counts as the whole answer to a request."""
 
     def host(self, head: RequestHead, target: Target) -> str:
@@ -130,7 +130,7 @@
         a refusal, tells nothing of it.
         """
 
-    def words_of(self, outcome: Outcome, target: Target) -> TargetWords:
+    def advisory_of(self, outcome: Outcome, target: Target) -> TargetAdvisory:
         """Read what an answer says of its target."""
 
     def read_check(self, outcome: Outcome, target: Target) -> CheckResult:
@@ -138,7 +138,7 @@
 
 
 @attrs.frozen
-class OwnCallers:
+class DefaultCallerConvention:
     """Published formats, and own headers where these lack something."""
 
     def read_head(self, pairs: list[tuple[str, str]]) -> RequestHead:
@@ -149,18 +149,18 @@
         """Write whole seconds, as RFC 9110 has it."""
         return str(max(1, round(seconds)))
 
-    def own_headers(self, head: RequestHead | None) -> list[tuple[str, str]]:
+    def local_answer_headers(self, head: RequestHead | None) -> list[tuple[str, str]]:
         """Give none."""
         return []
 
 
 @attrs.frozen
-class OwnTargets:
+class DefaultTargetConvention:
     """Refusals by the contract in a target's record, load by the open standard."""
 
-    def rules(self, head: RequestHead) -> AnswerRules:
+    def rules(self, head: RequestHead) -> ResponseRules:
         """Give the strict ones: nothing in an answer proves whose it is."""
-        return AnswerRules()
+        return ResponseRules()
 
     def host(self, head: RequestHead, target: Target) -> str:
         """Give the target's address."""
@@ -189,12 +189,12 @@
         """Believe answers that are no refusals."""
         return isinstance(outcome, Reply) and outcome.status == HTTP_OK
 
-    def words_of(self, outcome: Outcome, target: Target) -> TargetWords:
+    def advisory_of(self, outcome: Outcome, target: Target) -> TargetAdvisory:
         """Read what an answer says of its target."""
         if not isinstance(outcome, Reply):
-            return NO_WORDS
+            return NO_ADVISORY
         leaving_s = math.inf if target.started_ms else LEAVING_BY_NAME_S
-        return read_words(
+        return read_advisory(
             outcome.status, outcome.headers, REST_STATUSES, LEAVING_HEADERS, leaving_s
         )
 
@@ -208,7 +208,7 @@
                     report,
                     reply.status == HTTP_OK,
                     limit=limit,
-                    words=self.words_of(reply, target),
+                    advisory=self.advisory_of(reply, target),
                 )
             case _:
                 return CheckResult(None, False)
--- a/packages/entry/src/cairnferry/entry/targets/_endings.py
+++ b/packages/entry/src/cairnferry/entry/targets/_crash_detector.py
@@ -12,7 +12,7 @@
 
 from cairnferry.entry.targets._upstreams import Presence, Upstreams
 from cairnferry.entry.telemetry import Metrics, RateLimit
-from cairnferry.policy import SAME_END_S, Attempt, RequestIdentity
+from cairnferry.policy import SAME_CRASH_S, Attempt, RequestIdentity
 
 # Seconds for one look at a target whose connection broke. A sound one answers in some
 # 6 ms and the port of one that ended refuses at once; one that is cut off never says
@@ -32,7 +32,7 @@
 
 
 @attrs.frozen
-class LostRun:
+class InterruptedRequest:
     """A request that a target had in hand when it ended.
 
     Attributes
@@ -61,12 +61,12 @@
 class _Look:
     """A look at a target, and the requests that wait for what it shows."""
 
-    runs: list[LostRun] = attrs.field(factory=list)
+    runs: list[InterruptedRequest] = attrs.field(factory=list)
     done: Event = attrs.field(factory=Event)
 
 
 @attrs.define
-class Endings:
+class CrashDetector:
     """Tells ends of targets from all else that breaks a connection.
 
     A target that drops a request, or spoils an answer, goes on to serve; one that was
@@ -88,7 +88,7 @@
 
     upstreams: Upstreams
     metrics: Metrics
-    on_end: Callable[[LostRun], None] = lambda run: None
+    on_end: Callable[[InterruptedRequest], None] = lambda run: None
     _looks: dict[str, _Look] = attrs.field(factory=dict)
     _ended_at: OrderedDict[str, float] = attrs.field(factory=OrderedDict)
     _log_limit: RateLimit = attrs.field(factory=RateLimit)
@@ -111,10 +111,10 @@
         target = attempt.target
         if target.is_draining(now):
             return None
-        run = LostRun(
+        run = InterruptedRequest(
             identity, request_id, service, target.identity, attempt.started, now
         )
-        if now - self._ended_at.get(target.identity, -math.inf) < SAME_END_S:
+        if now - self._ended_at.get(target.identity, -math.inf) < SAME_CRASH_S:
             self._tell([run], "known")
             return None
         look = self._looks.get(target.identity)
--- a/packages/entry/src/cairnferry/entry/targets/_exchange_result.py
+++ b/packages/entry/src/cairnferry/entry/targets/_exchange_result.py
@@ -34,21 +34,21 @@
     """
     match outcome:
         case NotSent(failure):
-            return not_run(failure)
+            return not_run_result(failure)
         case Incomplete() as incomplete:
-            return lost(incomplete)
+            return lost_result(incomplete)
         case Reply() as reply:
             return _classify_reply(reply, refusal)
 
 
-def not_run(failure: Failure) -> NotRun:
+def not_run_result(failure: Failure) -> NotRun:
     """Give what it proves that no byte was written."""
     return NotRun(
         deadline=failure is Failure.TIMEOUT, withdrawn=failure is Failure.WITHDRAWN
     )
 
 
-def lost(outcome: Incomplete) -> Lost:
+def lost_result(outcome: Incomplete) -> Lost:
     """Give what an exchange without a whole answer proves."""
     failure = outcome.failure
     return Lost(timed_out=failure is Failure.TIMEOUT, broken=failure in BREAKS)
--- a/packages/entry/src/cairnferry/entry/targets/_limit_notes.py
+++ b/packages/entry/src/cairnferry/entry/targets/_limit_notes.py
@@ -3,8 +3,8 @@
 import math
 from collections.abc import Callable
 
-from cairnferry.coordination import Note, NoteBoard
-from cairnferry.policy import NO_LIMIT, Cold, NamedLimit
+from cairnferry.coordination import Note, NoteRegistry
+from cairnferry.policy import NO_LIMIT, AdvertisedLimit, ColdPeriod
 
 # Seconds for which a note is believed. Its age tells when the target spoke, and what is
 # older is of use to nobody: the target has been asked since, or is gone.
@@ -20,7 +20,7 @@
 _COLD = "cold"
 
 
-def limit_board(hear: Callable[[str, str, float], None]) -> NoteBoard:
+def limit_board(hear: Callable[[str, str, float], None]) -> NoteRegistry:
     """Give the board of such notes.
 
     Parameters
@@ -28,21 +28,21 @@
     hear : callable
         Called with subject, source and end of each note that is new.
     """
-    return NoteBoard(hear, LIMIT_NOTE_S, MAX_KEPT, MAX_TOLD, TELL_S)
+    return NoteRegistry(hear, LIMIT_NOTE_S, MAX_KEPT, MAX_TOLD, TELL_S)
 
 
-def note_of(target: str, limit: NamedLimit, now: float) -> Note:
+def note_of(target: str, limit: AdvertisedLimit, now: float) -> Note:
     """Turn a limit into a note, of which the time left tells the age."""
     source = _LIFTS if limit.per_s == NO_LIMIT else f"{_NAMES} {limit.per_s!r}"
     return Note(target, source, LIMIT_NOTE_S - (now - limit.at))
 
 
-def cold_note(target: str, cold: Cold, now: float) -> Note:
+def cold_note(target: str, cold: ColdPeriod, now: float) -> Note:
     """Turn what is known of a cold target into a note that lapses once it is warm."""
     return Note(target, f"{_COLD} {cold.per_s!r}", cold.until - now)
 
 
-def read_cold_note(source: str, until: float, now: float) -> Cold | None:
+def read_cold_note(source: str, until: float, now: float) -> ColdPeriod | None:
     """Read such a note; None if it is another one.
 
     Parameters
@@ -58,7 +58,7 @@
     per_s = _rate(text)
     if word != _COLD or not per_s:
         return None
-    return Cold(now, until, per_s)
+    return ColdPeriod(now, until, per_s)
 
 
 def _rate(text):
@@ -70,7 +70,7 @@
     return per_s if math.isfinite(per_s) and per_s >= 0 else None
 
 
-def read_note(source: str, until: float) -> NamedLimit | None:
+def read_note(source: str, until: float) -> AdvertisedLimit | None:
     """Read a note; None if it is of a later release.
 
     Parameters
@@ -82,9 +82,9 @@
     """
     at = until - LIMIT_NOTE_S
     if source == _LIFTS:
-        return NamedLimit(NO_LIMIT, at)
+        return AdvertisedLimit(NO_LIMIT, at)
     word, _, text = source.partition(" ")
     per_s = _rate(text)
     if word != _NAMES or per_s is None:
         return None
-    return NamedLimit(per_s, at)
+    return AdvertisedLimit(per_s, at)
--- a/packages/entry/src/cairnferry/entry/targets/_limiter.py
+++ b/packages/entry/src/cairnferry/entry/targets/_limiter.py
@@ -10,10 +10,10 @@
 from cairnferry.coordination import Note
 from cairnferry.entry.targets._cold_targets import ColdTargets
 from cairnferry.entry.targets._conventions import TargetConvention
+from cairnferry.entry.targets._limit_header import LimitFault
 from cairnferry.entry.targets._limit_notes import note_of, read_cold_note, read_note
-from cairnferry.entry.targets._limit_words import LimitFault
 from cairnferry.entry.telemetry import Metrics, RateLimit
-from cairnferry.policy import NO_LIMIT, Attempt, NamedLimit, TargetLimits
+from cairnferry.policy import NO_LIMIT, AdvertisedLimit, Attempt, TargetLimits
 from cairnferry.records import Target
 from cairnferry.wire import Outcome
 
@@ -70,7 +70,7 @@
         """
         identity = attempt.target.identity
         word = convention.limit_of(outcome)
-        if word is None and self.limits.book.rate(identity) is not None:
+        if word is None and self.limits.advertised.rate(identity) is not None:
             word = NO_LIMIT if convention.denies_limit(outcome) else None
         if word is not None:
             self._note(identity, word, attempt.started)
@@ -101,16 +101,16 @@
                 self._take(identity, per_s, sent)
 
     def _take(self, identity, per_s, sent):
-        book = self.limits.book
+        advertised = self.limits.advertised
         now = time.monotonic()
-        before = book.get(identity).per_s
-        if book.note_answer(identity, per_s, sent, now):
+        before = advertised.get(identity).per_s
+        if advertised.note_answer(identity, per_s, sent, now):
             self._change(identity, before, by="answer")
-            self.tell(note_of(identity, book.get(identity), now), False)
+            self.tell(note_of(identity, advertised.get(identity), now), False)
 
     # -- what other daemons say ----------------------------------------------------
 
-    def hear(self, subject: str, source: str, until: float) -> None:
+    def receive(self, subject: str, source: str, until: float) -> None:
         """Take in a note of another daemon, or one of this daemon's own."""
         cold = read_cold_note(source, until, time.monotonic())
         if cold is not None:
@@ -122,24 +122,24 @@
             return
         self.learn(subject, told, by="others")
 
-    def learn(self, identity: str, told: NamedLimit, by: str) -> None:
+    def learn(self, identity: str, told: AdvertisedLimit, by: str) -> None:
         """Take in what another daemon knows of a limit."""
-        before = self.limits.book.get(identity).per_s
-        if self.limits.book.hear(identity, told):
+        before = self.limits.advertised.get(identity).per_s
+        if self.limits.advertised.receive(identity, told):
             self._change(identity, before, by)
 
     def remind(self, identity: str) -> None:
         """Tell all once more: some may have joined, or been cut off, since."""
-        limit = self.limits.book.get(identity)
+        limit = self.limits.advertised.get(identity)
         self.tell(note_of(identity, limit, time.monotonic()), True)
 
     # -- what follows --------------------------------------------------------------
 
     def _change(self, identity, before, by):
-        per_s = self.limits.book.get(identity).per_s
+        per_s = self.limits.advertised.get(identity).per_s
         if per_s < before or per_s == NO_LIMIT:
             # What may be used under a higher limit is too much under this one.
-            self.limits.void(identity)
+            self.limits.discard_permits(identity)
         event = _event(before, per_s)
         self.metrics.limits[event] += 1
         told = {"per_s": _told(per_s), "before": _told(before)}
@@ -151,13 +151,15 @@
 
     def forget_unlisted(self, targets: Iterable[Target]) -> None:
         """Drop what is known of targets that are gone, by those that are listed."""
-        if self.limits.book.is_empty:
+        if self.limits.advertised.is_empty:
             return
         listed = {target.identity for target in targets}
         sent = self.limits.sent
         self.limits.sent = {t: count for t, count in sent.items() if t in listed}
-        for identity in self.limits.book.forget_unlisted(listed, time.monotonic()):
-            self.limits.void(identity)
+        for identity in self.limits.advertised.forget_unlisted(
+            listed, time.monotonic()
+        ):
+            self.limits.discard_permits(identity)
             self.metrics.limits["forgotten"] += 1
             self._log("limit forgotten", identity)
         if not self.limits:
@@ -175,7 +177,7 @@
                 "per_s": limit.per_s,
                 "sent": self.limits.sent.get(identity, 0),
             }
-            for identity, limit in self.limits.book.in_force().items()
+            for identity, limit in self.limits.advertised.in_force().items()
         }
 
 
--- a/packages/entry/src/cairnferry/entry/targets/_permits.py
+++ b/packages/entry/src/cairnferry/entry/targets/_permits.py
@@ -10,7 +10,7 @@
 import gevent
 from gevent.pool import Pool
 
-from cairnferry.entry.members import Giver, PermitGivers
+from cairnferry.entry.members import PermitIssuer, PermitIssuers
 from cairnferry.entry.targets._limiter import Limiter
 from cairnferry.entry.targets._services import Services
 from cairnferry.peers import (
@@ -20,7 +20,13 @@
     PermitsGiven,
     PermitsWanted,
 )
-from cairnferry.policy import HOLD_S, Cold, NamedLimit, PermitSchedule, Wanted
+from cairnferry.policy import (
+    ISSUER_HOLD_OFF_S,
+    AdvertisedLimit,
+    ColdPeriod,
+    PermitRequest,
+    PermitSchedule,
+)
 
 # Seconds between two rounds of asking, while any target names a limit: a part of the
 # time for which permits are given ahead.
@@ -49,7 +55,7 @@
 
 
 @attrs.define
-class PermitGiving:
+class LocalPermitIssuer:
     """Gives permits for the targets that fall to this daemon.
 
     One counts for all. Equal parts would leave unused what falls to daemons without
@@ -59,18 +65,18 @@
     ----------
     limiter : Limiter
         Knows the limits.
-    givers : PermitGivers
+    givers : PermitIssuers
         Says which targets fall to this daemon, and which part of their limits.
     rng : random.Random
         Spreads those that come again.
     """
 
     limiter: Limiter
-    givers: PermitGivers
+    givers: PermitIssuers
     rng: random.Random
     _given: dict[str, _Given] = attrs.field(factory=dict)
 
-    def give(self, asker: str, wanted: list[PermitsWanted]) -> list[PermitsGiven]:
+    def issue(self, asker: str, wanted: list[PermitsWanted]) -> list[PermitsGiven]:
         """Answer a daemon that asks."""
         now = time.monotonic()
         return [self._give_one(asker, each, now) for each in wanted]
@@ -82,11 +88,11 @@
         if rate is None:
             self._given.pop(target, None)
             return PermitsGiven(self._state(target, now), (), ELSEWHERE_S)
-        if not self.givers.is_me(target, wanted.zone):
+        if not self.givers.is_issuer(target, wanted.zone):
             return PermitsGiven(self._state(target, now), (), ELSEWHERE_S)
         given = self._schedule(target, rate, now)
-        part = rate * self.givers.part_in_view(wanted.zone)
-        given.schedule.give_back(wanted.returned, part)
+        part = rate * self.givers.visible_share(wanted.zone)
+        given.schedule.return_unused(wanted.returned, part)
         grant = given.schedule.grant(asker, part, wanted.count, now)
         return PermitsGiven(self._state(target, now), grant.delays, grant.retry_s)
 
@@ -97,9 +103,9 @@
             given = self._given[target] = _Given(schedule, rate, now, now)
         if given.per_s != rate:
             given.per_s = rate
-            given.schedule.start_anew(rate, now)
+            given.schedule.restart(rate, now)
         given.asked_at = now
-        is_named = self.limiter.limits.book.rate(target) is not None
+        is_named = self.limiter.limits.advertised.rate(target) is not None
         if is_named and now - given.reminded_at > REMIND_S:
             given.reminded_at = now
             self.limiter.remind(target)
@@ -111,9 +117,9 @@
         Nobody has given any for a target that has been cold for less than that.
         """
         cold = self.limiter.limits.cold.get(target)
-        is_new = cold is not None and now - cold.since < HOLD_S
-        is_named = self.limiter.limits.book.rate(target) is not None
-        return 0.0 if is_new and not is_named else HOLD_S
+        is_new = cold is not None and now - cold.since < ISSUER_HOLD_OFF_S
+        is_named = self.limiter.limits.advertised.rate(target) is not None
+        return 0.0 if is_new and not is_named else ISSUER_HOLD_OFF_S
 
     def _state(self, target, now):
         return state_of(self.limiter, target, now)
@@ -126,7 +132,7 @@
 
 
 @attrs.define
-class PermitAsking:
+class PermitRequester:
     """Asks for the permits that the next requests may use.
 
     They are there before the requests, so that none of these waits for a message.
@@ -139,9 +145,9 @@
         Whose requests use them.
     limiter : Limiter
         Knows the limits, and holds the permits.
-    givers : PermitGivers
+    givers : PermitIssuers
         Says whom to ask.
-    giving : PermitGiving
+    giving : LocalPermitIssuer
         Asked for targets that fall to this daemon itself.
     links : PeerLinks
         Connections to the others.
@@ -150,8 +156,8 @@
     name: str
     services: Services
     limiter: Limiter
-    givers: PermitGivers
-    giving: PermitGiving
+    givers: PermitIssuers
+    issuer: LocalPermitIssuer
     links: PeerLinks
     _not_before: dict[str, float] = attrs.field(factory=dict)
     _returned: dict[str, int] = attrs.field(factory=dict)
@@ -168,7 +174,7 @@
     def one_round(self) -> None:
         """Ask once for all that is wanted."""
         now = time.monotonic()
-        self.giving.drop_unused(now)
+        self.issuer.drop_unused(now)
         self.limiter.cold.drop_warm()
         limits = self.limiter.limits
         self._returned = {
@@ -176,7 +182,7 @@
             for target, count in self._returned.items()
             if limits.is_limited(target)
         }
-        for target, count in limits.take_lapsed(now).items():
+        for target, count in limits.pop_expired(now).items():
             self._returned[target] = self._returned.get(target, 0) + count
         self._not_before = {t: at for t, at in self._not_before.items() if at > now}
         for giver, wanted in self._by_giver(self._wanted(now)).items():
@@ -186,22 +192,22 @@
                 self._asking.update(each.target.identity for each in wanted)
                 self._calls.spawn(self._ask, giver, wanted)
 
-    def _wanted(self, now) -> Iterable[Wanted]:
+    def _wanted(self, now) -> Iterable[PermitRequest]:
         barred = self._not_before.keys() | self._asking
         for runtime in self.services.active().values():
-            yield from runtime.policy.permits_wanted(barred, now)
+            yield from runtime.policy.permits_to_request(barred, now)
 
-    def _by_giver(self, wanted) -> dict[Giver, list[Wanted]]:
+    def _by_giver(self, wanted) -> dict[PermitIssuer, list[PermitRequest]]:
         grouped = defaultdict(list)
         for each in wanted:
-            giver = self.givers.of(each.target.identity, each.target.zone)
+            giver = self.givers.issuer_for(each.target.identity, each.target.zone)
             if giver is not None:
                 grouped[giver].append(each)
         return grouped
 
     def _ask_here(self, wanted, now):
         messages = [self._message(each, now) for each in wanted]
-        self._take(self.giving.give(self.name, messages), now)
+        self._take(self.issuer.issue(self.name, messages), now)
 
     def _ask(self, giver, wanted):
         now = time.monotonic()
@@ -212,7 +218,7 @@
             given = link.ask_permits(self.name, messages)
             self._take(given, time.monotonic())
         except PeerCallFailed as exc:
-            self.givers.doubt(giver.name)
+            self.givers.mark_unresponsive(giver.name)
             for each in wanted:
                 self._not_before[each.target.identity] = now + ELSEWHERE_S
             extra = {"peer": giver.name, "why": exc.reason}
@@ -231,8 +237,8 @@
         for each in given:
             target = each.limit.target
             _learn(self.limiter, each.limit, now, by="the one that gives permits")
-            if each.limit.per_s == limits.book.get(target).per_s:
-                limits.take_in(target, [now + delay for delay in each.delays])
+            if each.limit.per_s == limits.advertised.get(target).per_s:
+                limits.add_permits(target, [now + delay for delay in each.delays])
             self._not_before[target] = now + each.retry_s
         for runtime in self.services.active().values():
             runtime.settle_waiting()
@@ -240,15 +246,15 @@
 
 def _learn(limiter, told, now, by):
     """Take in what another daemon knows of a target's limit."""
-    limiter.learn(told.target, NamedLimit(told.per_s, now - told.age), by)
+    limiter.learn(told.target, AdvertisedLimit(told.per_s, now - told.age), by)
     if told.cold_s:
-        cold = Cold(now, now + told.cold_s, told.cold_per_s)
+        cold = ColdPeriod(now, now + told.cold_s, told.cold_per_s)
         limiter.cold.learn(told.target, cold, by)
 
 
 def state_of(limiter: Limiter, target: str, now: float) -> LimitState:
     """Give what is known here of a target's limit, for another daemon."""
-    limit = limiter.limits.book.get(target)
+    limit = limiter.limits.advertised.get(target)
     state = LimitState(target, limit.per_s, now - limit.at)
     cold = limiter.limits.cold.get(target)
     if cold is None or cold.until <= now:
--- a/packages/entry/src/cairnferry/entry/targets/_probing.py
+++ b/packages/entry/src/cairnferry/entry/targets/_probing.py
@@ -26,7 +26,7 @@
 
 
 @attrs.define
-class Probing:
+class HealthProber:
     """Probes the targets that fall to this daemon and notes what it learns.
 
     Parameters
@@ -44,14 +44,14 @@
     cluster: Cluster
     services: Services
     metrics: Metrics
-    hurry: Callable[[], None]
+    trigger_round: Callable[[], None]
     _plan: ProbePlan = attrs.field(
         factory=lambda: ProbePlan(PolicySettings().probe_interval_s)
     )
     _shared_basis: tuple = ()
     _tasks: Pool = attrs.field(factory=lambda: Pool(MAX_PROBES))
 
-    def share_out(self) -> None:
+    def assign_targets(self) -> None:
         """Work out which targets fall to this daemon, if that may have changed.
 
         Daemons that the platform lists count even while no peer hears of them:
@@ -97,7 +97,7 @@
         if draining:
             note = Note(target.identity, str(DrainSource.HEALTH), HEALTH_NOTE_S)
             if self.cluster.post(note):
-                self.hurry()
+                self.trigger_round()
         runtime = self.services.active().get(target.service)
         if runtime is not None:
             runtime.policy.note_probe(target.identity, healthy, time.monotonic())
--- a/packages/entry/src/cairnferry/entry/targets/_runtime.py
+++ b/packages/entry/src/cairnferry/entry/targets/_runtime.py
@@ -43,9 +43,9 @@
         """Decide about a request that arrives."""
         return self._noted(call, self.policy.arrive(call, time.monotonic()))
 
-    def asked(self, call: Call) -> Decision:
+    def resume(self, call: Call) -> Decision:
         """Decide about a request once the targets to ask have been asked."""
-        return self._noted(call, self.policy.asked(call, time.monotonic()))
+        return self._noted(call, self.policy.resume(call, time.monotonic()))
 
     def finished(self, attempt: Attempt, result: AttemptResult) -> Decision:
         """Decide what follows an attempt, and let others use the room it left."""
@@ -60,7 +60,7 @@
         for event in self.policy.take_events():
             if self._log_limit.allows():
                 log.info(
-                    "target " + event.belief,
+                    "target " + event.condition,
                     extra={
                         "service": self.policy.service.name,
                         "target": event.target,
--- a/packages/entry/src/cairnferry/entry/targets/_services.py
+++ b/packages/entry/src/cairnferry/entry/targets/_services.py
@@ -9,9 +9,9 @@
 from cairnferry.entry.targets._runtime import ServiceRuntime
 from cairnferry.entry.targets._weights import WeightedTurns
 from cairnferry.policy import (
+    AdvisoryRegistry,
     PolicySettings,
     ServicePolicy,
-    TargetHolds,
     TargetLimits,
 )
 from cairnferry.records import Kind, RecordSet, Route, Service, Target
@@ -36,7 +36,7 @@
         Constants of the policies.
     limits : TargetLimits, optional
         Limits that targets name.
-    holds : TargetHolds, optional
+    holds : AdvisoryRegistry, optional
         What targets have asked of this daemon.
 
     Attributes
@@ -50,7 +50,7 @@
     on_start: Callable[[ServicePolicy], None]
     settings: PolicySettings = PolicySettings()
     limits: TargetLimits = attrs.field(factory=TargetLimits)
-    holds: TargetHolds = attrs.field(factory=TargetHolds)
+    advisories: AdvisoryRegistry = attrs.field(factory=AdvisoryRegistry)
     revision: int = 0
     evacuated: frozenset[str] = frozenset()
     _services: dict[str, Service] = attrs.field(factory=dict)
@@ -153,7 +153,12 @@
             if service is None:
                 return None
             policy = ServicePolicy(
-                service, self.zone, self.rng, self.settings, self.limits, self.holds
+                service,
+                self.zone,
+                self.rng,
+                self.settings,
+                self.limits,
+                self.advisories,
             )
             policy.evacuate(self.evacuated)
             runtime = ServiceRuntime(policy)
--- a/packages/entry/src/cairnferry/entry/targets/_asking.py
+++ b/packages/entry/src/cairnferry/entry/targets/_status_checks.py
@@ -7,18 +7,18 @@
 from gevent.event import Event
 
 from cairnferry.coordination import TokenBucket
+from cairnferry.entry.targets._advisory_recorder import AdvisoryRecorder
 from cairnferry.entry.targets._conventions import CheckResult
 from cairnferry.entry.targets._limiter import Limiter
 from cairnferry.entry.targets._runtime import ServiceRuntime
 from cairnferry.entry.targets._upstreams import Upstreams
-from cairnferry.entry.targets._word_listener import WordListener
 from cairnferry.entry.telemetry import Metrics
 from cairnferry.policy import DrainSource
 from cairnferry.records import Target
 
 # Longest wait in seconds for the answers of a round: many times what a sound target
 # takes; one that takes longer would not be chosen anyway.
-ROUND_S = 0.03
+ANSWER_WAIT_S = 0.03
 # Turns of the event loop in which answers that are there already are still taken: one
 # to notice that a socket is readable, one to read it, one to tell.
 LOOKS_AFTER_TIME = 3
@@ -56,7 +56,7 @@
         Checks a second for each target, over all instances; 0 for no limit.
     limiter : Limiter, optional
         Takes in limits that the answers name.
-    listener : WordListener, optional
+    listener : AdvisoryRecorder, optional
         Takes in what targets say of themselves.
     """
 
@@ -64,13 +64,13 @@
     metrics: Metrics
     rate: float = 0.0
     limiter: Limiter | None = None
-    listener: WordListener | None = None
+    advisory_recorder: AdvisoryRecorder | None = None
     _bucket: TokenBucket = attrs.field(
         factory=lambda: TokenBucket(0.0, 0.0, time.monotonic())
     )
     _running: dict[str, _Check] = attrs.field(factory=dict)
 
-    def share_with(self, instances: int, targets: int) -> None:
+    def set_instances(self, instances: int, targets: int) -> None:
         """Work out this instance's part of the budget."""
         bucket = self._bucket
         was_empty = not bucket.burst
@@ -88,7 +88,7 @@
         """
         checks = [self._check(target, runtime) for target in targets]
         checks = [check for check in checks if check is not None]
-        deadline = time.monotonic() + ROUND_S
+        deadline = time.monotonic() + ANSWER_WAIT_S
         for check in checks:
             check.done.wait(max(0.0, deadline - time.monotonic()))
         if all(check.done.is_set() for check in checks):
@@ -100,7 +100,9 @@
         for check in checks:
             if not check.done.is_set():
                 # The next request need not wait for it as well.
-                runtime.policy.note_unheard(check.target.identity, time.monotonic())
+                runtime.policy.note_missed_check(
+                    check.target.identity, time.monotonic()
+                )
 
     def _check(self, target, runtime):
         running = self._running.get(target.identity)
@@ -132,12 +134,14 @@
             self.limiter.cold.note_check(
                 target, result.warmup_s, service, check.started
             )
-        if self.listener is not None:
-            self.listener.note(target, result.words, runtime)
-        self.metrics.probes["healthy" if result.well else "unhealthy"] += 1
+        if self.advisory_recorder is not None:
+            self.advisory_recorder.note(target, result.advisory, runtime)
+        self.metrics.probes["healthy" if result.is_healthy else "unhealthy"] += 1
         if result.warmup_s is not None:
             runtime.policy.note_warmup(target.identity, now + result.warmup_s)
-        runtime.policy.note_check(target.identity, result.report, result.well, now)
-        if result.misplaced:
+        runtime.policy.note_check(
+            target.identity, result.report, result.is_healthy, now
+        )
+        if result.address_reused:
             until = now + MISPLACED_S
             runtime.policy.note_draining(target.identity, DrainSource.REFUSAL, until)
--- a/packages/entry/src/cairnferry/entry/targets/_upstreams.py
+++ b/packages/entry/src/cairnferry/entry/targets/_upstreams.py
@@ -10,7 +10,7 @@
 from cairnferry.entry.http import RequestHead
 from cairnferry.entry.targets._conventions import (
     CheckResult,
-    OwnTargets,
+    DefaultTargetConvention,
     TargetConvention,
 )
 from cairnferry.policy import Attempt, AttemptResult
@@ -84,7 +84,7 @@
 
     connect_timeout: float
     max_answer: int
-    convention: TargetConvention = attrs.field(factory=OwnTargets)
+    convention: TargetConvention = attrs.field(factory=DefaultTargetConvention)
     _pools: dict[tuple, ConnectionPool] = attrs.field(factory=dict)
     _opened_before: int = 0
     _lost_before: int = 0
@@ -94,13 +94,13 @@
         call = attempt.call
         pool = self._pool(attempt.target.record)
         timeout = min(self.connect_timeout, call.deadline - time.monotonic())
-        conn = pool.take(call.idempotent, timeout)
+        conn = pool.acquire(call.idempotent, timeout)
         if isinstance(conn, ConnectFailed):
             late = time.monotonic() >= call.deadline
             return NotSent(Failure.TIMEOUT if late else Failure.CONNECT)
-        if attempt.target.wants_none(time.monotonic()):
+        if attempt.target.is_unavailable(time.monotonic()):
             # It said so while the connection was opened.
-            pool.give(conn)
+            pool.release(conn)
             return NotSent(Failure.WITHDRAWN)
         payload = self._encode(req, attempt)
         rules = self.convention.rules(req.head)
@@ -126,7 +126,7 @@
         """
         deadline = time.monotonic() + timeout
         pool = self._pool(target)
-        conn = pool.take(True, timeout)
+        conn = pool.acquire(True, timeout)
         if isinstance(conn, ConnectFailed):
             return self.convention.read_check(NotSent(Failure.CONNECT), target)
         return self._check_on(conn, pool, target, deadline)
@@ -148,7 +148,7 @@
             refuses = conn.reason in _REFUSALS
             return Presence.REFUSING if refuses else Presence.SILENT
         found = self._check_on(conn, pool, target, deadline)
-        if found.misplaced:
+        if found.address_reused:
             return Presence.REPLACED
         return Presence.SERVING if found.heard else Presence.SILENT
 
@@ -175,7 +175,7 @@
         told = _IDLE_TIMEOUT.search(outcome.header("keep-alive") or "")
         if told:
             conn.idle_limit = float(told.group(1))
-        pool.give(conn)
+        pool.release(conn)
 
     def _encode(self, req, attempt):
         remaining = attempt.call.deadline - time.monotonic()
@@ -195,7 +195,7 @@
             if key not in kept:
                 pool = self._pools.pop(key)
                 self._opened_before += pool.opened
-                self._lost_before += pool.lost
+                self._lost_before += pool.stale
                 pool.close()
 
     def counts(self) -> dict[str, int]:
@@ -204,7 +204,7 @@
         return {
             "idle": sum(pool.idle for pool in pools),
             "opened": self._opened_before + sum(pool.opened for pool in pools),
-            "lost": self._lost_before + sum(pool.lost for pool in pools),
+            "lost": self._lost_before + sum(pool.stale for pool in pools),
         }
 
     def close(self) -> None:
--- a/packages/peers/src/cairnferry/peers/_client.py
+++ b/packages/peers/src/cairnferry/peers/_client.py
@@ -8,7 +8,7 @@
 from thrift.protocol.TCompactProtocol import TCompactProtocolAcceleratedFactory
 from thrift.Thrift import TException
 
-from cairnferry.coordination import DocumentNews, LogRow, News
+from cairnferry.coordination import DocumentNews, LogRow, TableUpdate
 from cairnferry.peers._generated.peer import Peer
 from cairnferry.peers._handshake import GREETING_BYTES, HandshakeFailed, greet
 from cairnferry.peers._keys import KeyFileFault, KeyRing
@@ -121,7 +121,7 @@
             lambda client: document_from_wire(client.document_since(revision)),
         )
 
-    def news_since(self, table: str, version: int) -> News:
+    def news_since(self, table: str, version: int) -> TableUpdate:
         """Read what a copy of a table lacks that has the version.
 
         Raises
--- a/packages/peers/src/cairnferry/peers/_messages.py
+++ b/packages/peers/src/cairnferry/peers/_messages.py
@@ -9,9 +9,9 @@
     LogRow,
     Member,
     MemberState,
-    News,
     Note,
     Row,
+    TableUpdate,
 )
 from cairnferry.peers._generated.peer import ttypes
 
@@ -194,16 +194,16 @@
     return LogRow.from_body(message.revision, message.body)
 
 
-def news_to_wire(news: News) -> ttypes.TableNews:
+def news_to_wire(news: TableUpdate) -> ttypes.TableNews:
     """Turn news of a table into the generated type."""
     rows = [ttypes.TableRow(row.key, row.value, row.version) for row in news.rows]
     return ttypes.TableNews(news.whole, news.version, rows)
 
 
-def news_from_wire(message: ttypes.TableNews) -> News:
+def news_from_wire(message: ttypes.TableNews) -> TableUpdate:
     """Turn generated news of a table into the project's type."""
     rows = tuple(Row(row.key, row.value, row.version) for row in message.rows)
-    return News(message.whole, rows, message.version)
+    return TableUpdate(message.whole, rows, message.version)
 
 
 def document_to_wire(news: DocumentNews) -> ttypes.DocumentNews:
--- a/packages/peers/src/cairnferry/peers/_server.py
+++ b/packages/peers/src/cairnferry/peers/_server.py
@@ -8,7 +8,7 @@
 from thrift.protocol.TCompactProtocol import TCompactProtocolAcceleratedFactory
 from thrift.Thrift import TException
 
-from cairnferry.coordination import DocumentNews, LogRow, News
+from cairnferry.coordination import DocumentNews, LogRow, TableUpdate
 from cairnferry.peers._generated.peer import Peer
 from cairnferry.peers._handshake import HandshakeFailed, welcome
 from cairnferry.peers._keys import KeyFileFault, KeyRing
@@ -56,10 +56,10 @@
     def document_since(self, revision: int) -> DocumentNews:
         """Give what a peer lacks of the rules that holds a revision."""
 
-    def news_since(self, table: str, version: int) -> News:
+    def news_since(self, table: str, version: int) -> TableUpdate:
         """Give what a copy of a table lacks that has the version."""
 
-    def give_permits(
+    def issue_permits(
         self, asker: str, wanted: list[PermitsWanted]
     ) -> list[PermitsGiven]:
         """Give a daemon permits to send to limited targets."""
@@ -96,7 +96,7 @@
 
     def ask_permits(self, asker, wanted):
         asked = [wanted_from_wire(each) for each in wanted]
-        given = self._handler.give_permits(asker, asked)
+        given = self._handler.issue_permits(asker, asked)
         return [given_to_wire(each) for each in given]
 
 
--- a/packages/policy/src/cairnferry/policy/_attempts.py
+++ b/packages/policy/src/cairnferry/policy/_attempts.py
@@ -89,5 +89,5 @@
     def end(self, attempt: Attempt) -> None:
         """Give back what an attempt held."""
         attempt.ended = True
-        attempt.target.note_ended(attempt.started)
+        attempt.target.note_finished(attempt.started)
         self.room.give_back(attempt.call.priority)
--- a/packages/policy/src/cairnferry/policy/_service.py
+++ b/packages/policy/src/cairnferry/policy/_service.py
@@ -1,21 +1,21 @@
 """Policy of one service at one daemon."""
 
 from cairnferry.policy._attempts import Attempts
-from cairnferry.policy._knowledge import ServiceKnowledge
+from cairnferry.policy._service_state import ServiceState
 from cairnferry.policy.admission import (
     CLASSES,
     Admission,
     Refusals,
 )
 from cairnferry.policy.requests import (
-    Abandoned,
     Answered,
-    Ask,
     Attempt,
     AttemptKind,
     AttemptResult,
+    AwaitOthers,
     Call,
     Cause,
+    CheckStatus,
     Decision,
     Follow,
     Lost,
@@ -33,12 +33,12 @@
 from cairnferry.policy.targets import TargetEvent
 
 
-class ServicePolicy(ServiceKnowledge):
-    """Decides about the requests of one service; parameters as `ServiceKnowledge`."""
+class ServicePolicy(ServiceState):
+    """Decides about the requests of one service; parameters as `ServiceState`."""
 
     def __init__(self, *args, **kwargs):
         super().__init__(*args, **kwargs)
-        self.repeats_denied = 0
+        self.retries_denied = 0
         self._searcher = Searcher(self.settings.seek, self._targets, self._work)
         self._refusals = Refusals(self.settings, self._work, self._rng)
         self._attempts = Attempts(self._targets, self.limits, self._work, self._room)
@@ -90,7 +90,7 @@
             return _while_others_run(result)
         return self._follow(call, result, now)
 
-    def asked(self, call: Call, now: float) -> Decision:
+    def resume(self, call: Call, now: float) -> Decision:
         """Decide about a request once the targets to ask have been asked."""
         if now >= call.deadline:
             return self._refusals.settle(call, Cause.DEADLINE, now)
@@ -114,7 +114,7 @@
                 return Send(attempt)
             case NothingFound(cause, room_at):
                 return self._refusals.settle(call, cause, now, room_at)
-            case Ask() | Pause():
+            case CheckStatus() | Pause():
                 return found
 
     def _adapt_room(self, now):
@@ -160,15 +160,15 @@
         return max(self.settings.hedge_min_s, late, latency.high)
 
     @property
-    def looks_again(self) -> bool:
+    def repeats_hedge_check(self) -> bool:
         """Whether `hedge` is to be called again after another such delay."""
         return self.settings.seek is not None
 
-    def hedge(self, call: Call, now: float) -> Send | Ask | None:
+    def hedge(self, call: Call, now: float) -> Send | CheckStatus | None:
         """Send an idempotent request a second time, if the budget has room.
 
         Where targets can be asked, only if the first one is stuck: an answer to
-        `Ask` is followed by another call.
+        `CheckStatus` is followed by another call.
         """
         if not call.idempotent or call.open_attempts != 1 or now >= call.deadline:
             return None
@@ -176,7 +176,7 @@
             return None
         if self.settings.seek is not None:
             return self._hedge_if_stuck(call, now)
-        if not self.may_add(call) or not self._room.has(call.priority):
+        if not self.allows_attempt(call) or not self._room.has(call.priority):
             return None
         if not self._spend(now):
             return None
@@ -184,7 +184,7 @@
         return Send(attempt) if attempt else None
 
     def _hedge_if_stuck(self, call, now):
-        if not self.may_add(call):
+        if not self.allows_attempt(call):
             return None
         found = self._searcher.second_target(call, now)
         if isinstance(found, Found):
@@ -197,7 +197,7 @@
     def _spend(self, now, on_credit=False):
         """Take a further attempt from the budget, if it has one; count if not."""
         allowed = self._budget.spend(now, on_credit)
-        self.repeats_denied += not allowed
+        self.retries_denied += not allowed
         return allowed
 
     # -- waiting ---------------------------------------------------------------
@@ -215,7 +215,7 @@
         back_at = self._targets.back_at(now)
         if back_at is None or now >= call.deadline:
             return self._refusals.settle(call, cause, now)
-        return self._refusals.settle(call, Cause.RESTING, now, back_at)
+        return self._refusals.settle(call, Cause.BACKING_OFF, now, back_at)
 
     def release(self, now: float) -> list[tuple[Call, Decision]]:
         """Decide about waiting requests for which it is time.
@@ -255,18 +255,18 @@
 
     # -- attempts --------------------------------------------------------------
 
-    def turn_away(self, cause: Cause, retry_after: float) -> Refuse:
+    def refuse_with_delay(self, cause: Cause, retry_after: float) -> Refuse:
         """Refuse a request for a cause that lies outside of this service."""
-        return self._refusals.turn_away(cause, retry_after)
+        return self._refusals.refuse_with_delay(cause, retry_after)
 
-    def may_add(self, call: Call) -> bool:
+    def allows_attempt(self, call: Call) -> bool:
         """Tell whether a request may have a further attempt."""
         limit = call.max_attempts or self.settings.max_attempts
         return call.may_retry and len(call.attempts) < limit
 
     def _again(self, call, now, on_credit, may_relay=False):
         """Give a decision that goes on with the request, or None."""
-        if not self.may_add(call) or now >= call.deadline:
+        if not self.allows_attempt(call) or now >= call.deadline:
             return None
         if not self._spend(now, on_credit):
             return None
@@ -306,7 +306,7 @@
             "window": round(self._room.limit, 2),
             "reported_load": round(self._targets.reported_load, 3),
             "retry_tokens": round(self._budget.tokens, 2),
-            "repeats_denied": self.repeats_denied,
+            "repeats_denied": self.retries_denied,
             "usual_latency_ms": round(latency.usual * 1000, 3),
             "high_latency_ms": round(latency.high * 1000, 3),
             "attempts": {str(kind): n for kind, n in self.attempts.items()},
@@ -315,7 +315,7 @@
         }
 
     @property
-    def repeats_left(self) -> float:
+    def retries_left(self) -> float:
         """Further attempts that the budget has at this moment."""
         return self._budget.tokens
 
@@ -341,7 +341,7 @@
         case Answered(failed=False):
             return Relay()
         case _:
-            return Abandoned()
+            return AwaitOthers()
 
 
 def _cause(result):
--- a/packages/policy/src/cairnferry/policy/_knowledge.py
+++ b/packages/policy/src/cairnferry/policy/_service_state.py
@@ -7,12 +7,12 @@
 from cairnferry.policy.admission import Demand, Room, budget_of
 from cairnferry.policy.choice import WorkEstimates
 from cairnferry.policy.search import TargetSet
-from cairnferry.policy.shared import TargetHolds, TargetLimits, Wanted
-from cairnferry.policy.targets import DrainSource, LoadReport, TargetWords
+from cairnferry.policy.shared import AdvisoryRegistry, PermitRequest, TargetLimits
+from cairnferry.policy.targets import DrainSource, LoadReport, TargetAdvisory
 from cairnferry.records import Service, Target
 
 
-class ServiceKnowledge:
+class ServiceState:
     """Takes in what happens to a service, to the other instances and to targets.
 
     Parameters
@@ -27,7 +27,7 @@
         Constants.
     limits : TargetLimits, optional
         Limits that targets name, of all services of the daemon.
-    holds : TargetHolds, optional
+    holds : AdvisoryRegistry, optional
         What targets have asked of the daemon, of all its services.
     """
 
@@ -38,7 +38,7 @@
         rng: random.Random,
         settings: PolicySettings | None = None,
         limits: TargetLimits | None = None,
-        holds: TargetHolds | None = None,
+        advisories: AdvisoryRegistry | None = None,
     ):
         self.settings = settings or PolicySettings()
         self.service = service
@@ -46,13 +46,15 @@
         self._rng = rng
         self._work = WorkEstimates()
         self._demand = Demand()
-        self.holds = TargetHolds() if holds is None else holds
-        self._targets = TargetSet(zone, rng, self.settings, self.limits, self.holds)
+        self.advisories = AdvisoryRegistry() if advisories is None else advisories
+        self._targets = TargetSet(
+            zone, rng, self.settings, self.limits, self.advisories
+        )
         self._room = Room(self.settings)
         self._instances = 1
         self._budget = budget_of(service, self.settings)
 
-    def share_with(self, instances: int, place: float | None = None) -> None:
+    def set_instances(self, instances: int, place: float | None = None) -> None:
         """Take in the other instances.
 
         Parameters
@@ -94,8 +96,12 @@
         """
         self._targets.note_draining(identity, source, until)
 
-    def note_words(
-        self, identity: str, words: TargetWords, now: float, heard_by: str | None = None
+    def note_advisory(
+        self,
+        identity: str,
+        words: TargetAdvisory,
+        now: float,
+        heard_by: str | None = None,
     ) -> None:
         """Take in what a target says of itself.
 
@@ -103,22 +109,22 @@
         ----------
         identity : str
             Name of the target's start.
-        words : TargetWords
+        words : TargetAdvisory
             What it says.
         now : float
             Time in seconds.
         heard_by : str or None, optional
             ID of the request in whose answer it said so, for the log.
         """
-        self._targets.note_words(identity, words, now, heard_by)
+        self._targets.note_advisory(identity, words, now, heard_by)
 
     def note_probe(self, identity: str, healthy: bool, now: float) -> None:
         """Take in the result of a probe."""
         self._targets.note_probe(identity, healthy, now)
 
-    def note_unheard(self, identity: str, now: float) -> None:
+    def note_missed_check(self, identity: str, now: float) -> None:
         """Take in that a target has not answered a check in time."""
-        self._targets.note_unheard(identity, now)
+        self._targets.note_missed_check(identity, now)
 
     def note_warmup(self, identity: str, warm_at: float) -> None:
         """Take in the time in seconds to which a target is slow, as it is cold."""
@@ -142,7 +148,9 @@
         """
         self._targets.note_check(identity, report, well, now)
 
-    def permits_wanted(self, barred: Container[str], now: float) -> list[Wanted]:
+    def permits_to_request(
+        self, barred: Container[str], now: float
+    ) -> list[PermitRequest]:
         """Give the permits for limited targets that the next requests may use.
 
         Parameters
@@ -153,4 +161,4 @@
             Time in seconds.
         """
         expected = self._demand.expected(now)
-        return self._targets.permits_wanted(expected, barred, now)
+        return self._targets.permits_to_request(expected, barred, now)
--- a/packages/policy/src/cairnferry/policy/_settings.py
+++ b/packages/policy/src/cairnferry/policy/_settings.py
@@ -7,7 +7,7 @@
     LoadAware,
     RandomChoice,
     RoundRobin,
-    SeekSettings,
+    StatusCheckSettings,
     Strategy,
     TwoChoices,
 )
@@ -99,7 +99,7 @@
     min_retry_after_s : float
         Shortest Retry-After in seconds: below it a caller would come back before
         anything has changed.
-    seek : SeekSettings or None
+    seek : StatusCheckSettings or None
         How targets are asked for their load before a request is sent; None does not
         ask.
     """
@@ -138,7 +138,7 @@
     rest_spread: float = 0.25
     budget_share: float = 0.9
     min_retry_after_s: float = 0.05
-    seek: SeekSettings | None = None
+    seek: StatusCheckSettings | None = None
 
 
 _BASELINES = {
@@ -164,7 +164,7 @@
     if strategy_name == "load-aware":
         return PolicySettings()
     if strategy_name == "ask-first":
-        return PolicySettings(min_window=UNLIMITED, seek=SeekSettings())
+        return PolicySettings(min_window=UNLIMITED, seek=StatusCheckSettings())
     return PolicySettings(
         strategy=_BASELINES[strategy_name],
         min_window=UNLIMITED,
--- a/packages/policy/src/cairnferry/policy/admission/_refusals.py
+++ b/packages/policy/src/cairnferry/policy/admission/_refusals.py
@@ -38,14 +38,14 @@
     rng: random.Random
     given_up: dict[Cause, int] = attrs.field(factory=_none_given_up)
 
-    def turn_away(self, cause: Cause, retry_after: float) -> Refuse:
+    def refuse_with_delay(self, cause: Cause, retry_after: float) -> Refuse:
         """Refuse a request for a cause that lies outside of the service."""
         self.given_up[cause] += 1
         return Refuse(cause, retry_after)
 
     def refuse(self, cause: Cause) -> Refuse:
         """Refuse a request that has not been sent anywhere."""
-        return self.turn_away(cause, self.settings.retry_after_s)
+        return self.refuse_with_delay(cause, self.settings.retry_after_s)
 
     def settle(
         self, call: Call, cause: Cause, now: float, room_at: float = math.inf
@@ -64,7 +64,7 @@
             Time in seconds at which there will be room again; infinite if unknown.
         """
         self.given_up[cause] += 1
-        if cause is Cause.RESTING:
+        if cause is Cause.BACKING_OFF:
             room_at += self.settings.rest_spread * self.rng.random() * (room_at - now)
         retry_after = self._return_after(call, now, room_at)
         if call.possibly_run:
--- a/packages/policy/src/cairnferry/policy/choice/__init__.py
+++ b/packages/policy/src/cairnferry/policy/choice/__init__.py
@@ -9,7 +9,7 @@
     Strategy,
     TwoChoices,
 )
-from cairnferry.policy.choice._seeking import Seeker, SeekSettings
+from cairnferry.policy.choice._seeking import Seeker, StatusCheckSettings
 from cairnferry.policy.choice._work import WorkEstimates
 
 __all__ = [
@@ -18,7 +18,7 @@
     "LoadAware",
     "RandomChoice",
     "RoundRobin",
-    "SeekSettings",
+    "StatusCheckSettings",
     "Seeker",
     "Strategy",
     "TwoChoices",
--- a/packages/policy/src/cairnferry/policy/choice/_choice.py
+++ b/packages/policy/src/cairnferry/policy/choice/_choice.py
@@ -74,7 +74,7 @@
     trust: ReportTrust
     latency_memory: float
     ramp: float
-    usual_others: float = 0.0
+    mean_others_load: float = 0.0
     _turn: int = 0
 
     def choose(
@@ -158,7 +158,7 @@
         best_load = 0.0
         best_cost = 0.0
         for target in targets:
-            load = target.load(now, self.trust, self.usual_others)
+            load = target.load(now, self.trust, self.mean_others_load)
             age = now - target.ready_since
             if age < self.ramp:
                 load += self._ramp_load(age)
--- a/packages/policy/src/cairnferry/policy/choice/_seeking.py
+++ b/packages/policy/src/cairnferry/policy/choice/_seeking.py
@@ -11,12 +11,12 @@
 
 import attrs
 
-from cairnferry.policy.requests import Ask, Call
+from cairnferry.policy.requests import Call, CheckStatus
 from cairnferry.policy.targets import TargetState
 
 
 @attrs.frozen
-class SeekSettings:
+class StatusCheckSettings:
     """How many targets are asked, and when an answer is good enough.
 
     Attributes
@@ -107,13 +107,13 @@
 
     Parameters
     ----------
-    settings : SeekSettings
+    settings : StatusCheckSettings
         Constants.
     rng : random.Random
         Source of randomness.
     """
 
-    settings: SeekSettings
+    settings: StatusCheckSettings
     rng: random.Random
 
     def seek(
@@ -123,7 +123,7 @@
         far: list[TargetState],
         work: float,
         now: float,
-    ) -> TargetState | Ask | None:
+    ) -> TargetState | CheckStatus | None:
         """Choose a target, or say which ones to ask first.
 
         Parameters
@@ -172,12 +172,14 @@
         search = call.search
         if search.rounds >= len(self.settings.rounds):
             return None
-        chosen = self._draw(targets, self.settings.rounds[search.rounds], search.asked)
+        chosen = self._draw(
+            targets, self.settings.rounds[search.rounds], search.checked
+        )
         if not chosen:
             return None
         search.rounds += 1
-        search.asked.update(target.identity for target in chosen)
-        return Ask(tuple(target.record for target in chosen))
+        search.checked.update(target.identity for target in chosen)
+        return CheckStatus(tuple(target.record for target in chosen))
 
     def _draw(self, targets, count, asked):
         """Take the next ones on the ring.
@@ -211,10 +213,10 @@
         if share > 1:
             # It waits there for one of the slots first.
             cost += share - 1 + 1 / slots
-        cost *= target.pace
+        cost *= target.slowdown
         if now < target.warm_at:
             cost *= cfg.warmup_cost
-        if now < target.unwell_until:
+        if now < target.unhealthy_until:
             cost *= cfg.unwell_cost
         return cost
 
--- a/packages/policy/src/cairnferry/policy/requests/__init__.py
+++ b/packages/policy/src/cairnferry/policy/requests/__init__.py
@@ -10,12 +10,12 @@
     follow,
 )
 from cairnferry.policy.requests._model import (
-    Abandoned,
-    Ask,
     Attempt,
     AttemptKind,
+    AwaitOthers,
     Call,
     Cause,
+    CheckStatus,
     Decision,
     GiveUp,
     Pause,
@@ -27,9 +27,9 @@
 )
 
 __all__ = [
-    "Abandoned",
+    "AwaitOthers",
     "Answered",
-    "Ask",
+    "CheckStatus",
     "Attempt",
     "AttemptKind",
     "AttemptResult",
--- a/packages/policy/src/cairnferry/policy/requests/_model.py
+++ b/packages/policy/src/cairnferry/policy/requests/_model.py
@@ -18,10 +18,10 @@
     RETRIES_EXHAUSTED = "retries-exhausted"
     TARGET_LOST = "target-lost"
     CALLER_GONE = "caller-gone"
-    ENDS_TARGETS = "ends-targets"
+    CRASHES_TARGETS = "ends-targets"
     TARGET_LIMIT = "target-limit"
     EVACUATED = "zones-evacuated"
-    RESTING = "targets-resting"
+    BACKING_OFF = "targets-resting"
 
 
 class AttemptKind(enum.StrEnum):
@@ -118,7 +118,7 @@
 
     kind: AttemptKind = AttemptKind.FIRST
     rounds: int = 0
-    asked: set[str] = attrs.field(factory=set)
+    checked: set[str] = attrs.field(factory=set)
     may_relay: bool = False
     pauses: int = 0
 
@@ -177,8 +177,8 @@
 
 
 @attrs.frozen
-class Ask:
-    """Ask these targets for their load, all at once, then call `asked`.
+class CheckStatus:
+    """Ask these targets for their load, all at once, then call `checked`.
 
     Attributes
     ----------
@@ -204,7 +204,7 @@
 
 @attrs.frozen
 class Pause:
-    """Wait so long, then call `asked`.
+    """Wait so long, then call `checked`.
 
     Attributes
     ----------
@@ -221,7 +221,7 @@
 
 
 @attrs.frozen
-class Abandoned:
+class AwaitOthers:
     """Do nothing: another attempt of the same request decides."""
 
 
@@ -249,4 +249,4 @@
     retry_after: float
 
 
-Decision = Send | Ask | Wait | Pause | Relay | Abandoned | Refuse | GiveUp
+Decision = Send | CheckStatus | Wait | Pause | Relay | AwaitOthers | Refuse | GiveUp
--- a/packages/policy/src/cairnferry/policy/search/_learning.py
+++ b/packages/policy/src/cairnferry/policy/search/_learning.py
@@ -15,13 +15,13 @@
     TargetRefused,
 )
 from cairnferry.policy.targets import (
-    CLEARLY_SLOWER,
-    Belief,
+    SLOW_TARGET_FACTOR,
     DrainSource,
     Ejector,
     EventLog,
     LatencyEstimate,
     LoadReport,
+    TargetCondition,
     TargetState,
 )
 
@@ -105,7 +105,7 @@
         """Take in that an attempt was cut off here before it had an answer."""
         target = attempt.target
         elapsed = now - attempt.started
-        if elapsed > CLEARLY_SLOWER * self.latency.usual > 0:
+        if elapsed > SLOW_TARGET_FACTOR * self.latency.usual > 0:
             # A hedge won, or the caller left. A target that hangs gives no other
             # sign: its attempts would always be cut before they fail.
             self._learn_failure(target, elapsed, targets, now)
@@ -121,7 +121,7 @@
         self.ejector.note_success(target, now)
         if was_out:
             self.forget_usable()
-            self.events.note(target.name, Belief.RETURNED, by="answer")
+            self.events.note(target.name, TargetCondition.RETURNED, by="answer")
         if report is not None:
             self.learn_report(target, report, now)
 
@@ -129,8 +129,8 @@
         """Take in what a target says of its load."""
         target.note_report(report, now)
         chooser = self.chooser
-        step = target.others_load - chooser.usual_others
-        chooser.usual_others += REPORTED_LOAD_GAIN * step
+        step = target.others_load - chooser.mean_others_load
+        chooser.mean_others_load += REPORTED_LOAD_GAIN * step
         load = report.in_use / target.record.slots
         self.reported_load += REPORTED_LOAD_GAIN * (load - self.reported_load)
 
@@ -143,7 +143,7 @@
         if target.ejected_until and not was_out:
             self.events.note(
                 target.name,
-                Belief.EJECTED,
+                TargetCondition.EJECTED,
                 failures=target.failures,
                 for_s=round(target.ejected_until - now, 3),
             )
@@ -153,7 +153,7 @@
             until = now + self.settings.refusal_drain_s
             target.draining_until[DrainSource.REFUSAL] = until
             self.forget_usable()
-        if target.resting_until > now:
+        if target.back_off_until > now:
             # It is well, and what it says of its load is why it wants rest.
             return
         doublings = min(target.refusals, MAX_REFUSAL_DOUBLINGS)
