--- a/packages/policy/src/cairnferry/policy/search/_searcher.py
+++ b/packages/policy/src/cairnferry/policy/search/_searcher.py
@@ -4,12 +4,12 @@
 
 import attrs
 
-from cairnferry.policy.choice import SeekSettings, WorkEstimates
+from cairnferry.policy.choice import StatusCheckSettings, WorkEstimates
 from cairnferry.policy.requests import (
-    Ask,
     AttemptKind,
     Call,
     Cause,
+    CheckStatus,
     Pause,
     Search,
 )
@@ -65,7 +65,7 @@
 
     Parameters
     ----------
-    settings : SeekSettings or None
+    settings : StatusCheckSettings or None
         Constants; None if targets are not asked.
     targets : TargetSet
         What is known of the targets.
@@ -73,13 +73,13 @@
         What requests of each route take.
     """
 
-    settings: SeekSettings | None
+    settings: StatusCheckSettings | None
     targets: TargetSet
     work: WorkEstimates
 
     def begin(
         self, call: Call, kind: AttemptKind, now: float
-    ) -> Found | Ask | Pause | NothingFound:
+    ) -> Found | CheckStatus | Pause | NothingFound:
         """Begin the search for an attempt."""
         call.search = Search(kind)
         trial = self.targets.choose_for_trial(call, now)
@@ -87,12 +87,14 @@
             return Found(trial, 1.0, trial=True)
         return self.go_on(call, now)
 
-    def go_on(self, call: Call, now: float) -> Found | Ask | Pause | NothingFound:
+    def go_on(
+        self, call: Call, now: float
+    ) -> Found | CheckStatus | Pause | NothingFound:
         """Go on once the targets to ask have been asked."""
         work = self.work.seconds(call.route)
         urgent = self.work.is_urgent(call.rank)
         match self.targets.seek(call, work, urgent, now):
-            case Ask() as ask:
+            case CheckStatus() as ask:
                 return ask
             case None:
                 return self._without_target(call, urgent, now)
@@ -104,7 +106,7 @@
         if permitted_at is None:
             back_at = self.targets.back_at(now)
             if back_at is not None:
-                return NothingFound(Cause.RESTING, back_at)
+                return NothingFound(Cause.BACKING_OFF, back_at)
             return NothingFound(self.targets.cause_of_none)
         wait = permitted_at - now
         may_pause = call.search.pauses < MAX_PAUSES and wait <= MAX_PAUSE_S
@@ -120,7 +122,7 @@
             return NothingFound(Cause.OVERLOAD)
         return Found(target, seeker.cost(target, now))
 
-    def second_target(self, call: Call, now: float) -> Found | Ask | None:
+    def second_target(self, call: Call, now: float) -> Found | CheckStatus | None:
         """Find a second target for a request whose first one is stuck.
 
         Returns
@@ -135,10 +137,10 @@
         expected = self.work.seconds(call.route) * attempt.cost
         if not expected or elapsed < cfg.doubt_factor * expected:
             return None
-        is_silent = first.unheard and first.checked_at > attempt.started
+        is_silent = first.missed_checks and first.checked_at > attempt.started
         if not is_silent and elapsed < cfg.stuck_factor * expected:
             wants_check = now - first.checked_at > cfg.look_s
-            return Ask((first.record,)) if wants_check else None
+            return CheckStatus((first.record,)) if wants_check else None
         other = self.targets.best_known(call, now)
         return other and Found(other, self.targets.seeker.cost(other, now))
 
--- a/packages/policy/src/cairnferry/policy/search/_targetset.py
+++ b/packages/policy/src/cairnferry/policy/search/_targetset.py
@@ -5,29 +5,29 @@
 from collections.abc import Container
 
 from cairnferry.policy._settings import PolicySettings
-from cairnferry.policy.choice import Chooser, Seeker, SeekSettings
+from cairnferry.policy.choice import Chooser, Seeker, StatusCheckSettings
 from cairnferry.policy.requests import (
-    Ask,
     Attempt,
     AttemptResult,
     Call,
     Cause,
+    CheckStatus,
 )
 from cairnferry.policy.search._learning import Learning
 from cairnferry.policy.search._word_keeper import WordKeeper
-from cairnferry.policy.shared import TargetHolds, TargetLimits, Wanted
+from cairnferry.policy.shared import AdvisoryRegistry, PermitRequest, TargetLimits
 from cairnferry.policy.targets import (
-    Belief,
     DrainSource,
     Ejector,
     EventLog,
     LatencyEstimate,
     LoadReport,
     ReportTrust,
+    TargetAdvisory,
+    TargetCondition,
     TargetState,
-    TargetWords,
 )
-from cairnferry.policy.usable import LimitedTargets, Usable, UsableTargets
+from cairnferry.policy.usable import CandidateLists, LimitedTargets, UsableTargets
 from cairnferry.records import Priority, Target
 
 PROBE_RETURN_S = 5.0
@@ -48,7 +48,7 @@
         Constants.
     limits : TargetLimits
         Limits that targets name, and the permits to send to these.
-    holds : TargetHolds
+    holds : AdvisoryRegistry
         What targets have asked of this daemon.
 
     Attributes
@@ -63,12 +63,12 @@
         rng: random.Random,
         settings: PolicySettings,
         limits: TargetLimits,
-        holds: TargetHolds,
+        advisories: AdvisoryRegistry,
     ):
         self.settings = settings
         self.limits = limits
         self.events = EventLog()
-        self._words = WordKeeper(holds, self.events)
+        self._words = WordKeeper(advisories, self.events)
         self._states: dict[str, TargetState] = {}
         # From then on each target may be asked.
         self._muted_until = -math.inf
@@ -81,7 +81,7 @@
             settings.latency_memory_s,
             settings.ramp_s,
         )
-        self.seeker = Seeker(settings.seek or SeekSettings(), rng)
+        self.seeker = Seeker(settings.seek or StatusCheckSettings(), rng)
         self._ejector = Ejector(
             settings.eject_failures,
             settings.eject_base_s,
@@ -91,7 +91,7 @@
         )
 
         self._learning = Learning(
-            settings, self._chooser, self._ejector, self.events, self._usable.forget
+            settings, self._chooser, self._ejector, self.events, self._usable.invalidate
         )
 
     @property
@@ -128,18 +128,18 @@
                 state.warm_at = now + target.warmup_s
             state.record = target
             self._states[target.identity] = state
-        self._usable.forget()
+        self._usable.invalidate()
 
     def evacuate(self, zones: frozenset[str]) -> None:
         """Leave out the targets of these availability zones, and of no others."""
         self._usable.evacuated = zones
-        self._usable.forget()
+        self._usable.invalidate()
 
     def begin_at(self, place: float) -> None:
         """Take in where on the ring of targets this daemon begins, 0 to 1."""
-        if place != self._usable.place:
-            self._usable.place = place
-            self._usable.forget()
+        if place != self._usable.ring_position:
+            self._usable.ring_position = place
+            self._usable.invalidate()
 
     # -- choosing ----------------------------------------------------------------
 
@@ -157,12 +157,12 @@
             if found is not None:
                 return found
             if not usable.near:
-                self._limited.note_found(None, now)
+                self._limited.note_search_result(None, now)
         return self._chooser.choose(usable.near, usable.far, now, usual, max_load)
 
     def seek(
         self, call: Call, work: float, urgent: bool, now: float
-    ) -> TargetState | Ask | None:
+    ) -> TargetState | CheckStatus | None:
         """Choose a target by what some say of themselves, or say which to ask.
 
         Parameters
@@ -179,7 +179,7 @@
         usable = self._candidates(call, now, urgent)
         found = self.seeker.seek(call, usable.near, usable.far, work, now)
         if self.limits:
-            self._limited.note_found(found, now)
+            self._limited.note_search_result(found, now)
         return found
 
     def best_known(self, call: Call, now: float) -> TargetState | None:
@@ -192,16 +192,20 @@
         usable = self._open_to(call, now, urgent)
         if now >= self._muted_until:
             return usable
-        heard_near = [target for target in usable.near if target.mute_until <= now]
-        heard_far = [target for target in usable.far if target.mute_until <= now]
+        heard_near = [
+            target for target in usable.near if target.checks_suspended_until <= now
+        ]
+        heard_far = [
+            target for target in usable.far if target.checks_suspended_until <= now
+        ]
         if heard_near or heard_far:
-            return Usable(heard_near, heard_far)
+            return CandidateLists(heard_near, heard_far)
         return usable
 
     def _open_to(self, call, now, urgent=True):
         """List the usable targets to which a request may go now."""
         left = self._left_for(call, now)
-        return self._limited.open_to(left, urgent, now) if self.limits else left
+        return self._limited.filter_by_limit(left, urgent, now) if self.limits else left
 
     def _left_for(self, call, now):
         """List the usable targets that a request has not tried."""
@@ -209,7 +213,7 @@
         if call.attempts:
             near = [target for target in near if not call.tried(target)]
             far = [target for target in far if not call.tried(target)]
-        return Usable(near, far)
+        return CandidateLists(near, far)
 
     def next_permit(self, call: Call, urgent: bool, now: float) -> float | None:
         """Give the time from which a request may go to a limited target.
@@ -218,39 +222,39 @@
         """
         return self._limited.next_permit(self._left_for(call, now), urgent, now)
 
-    def permits_wanted(
+    def permits_to_request(
         self, expected: int, barred: Container[str], now: float
-    ) -> list[Wanted]:
+    ) -> list[PermitRequest]:
         """Give the permits that are worth asking for.
 
-        As `LimitedTargets.permits_wanted`.
+        As `LimitedTargets.permits_to_request`.
         """
-        usable = Usable(*self._usable.lists(self._states, now))
+        usable = CandidateLists(*self._usable.lists(self._states, now))
         ejected = self._usable.ejected
-        return self._limited.permits_wanted(usable, ejected, expected, barred, now)
+        return self._limited.permits_to_request(usable, ejected, expected, barred, now)
 
     def choose_for_trial(self, call: Call, now: float) -> TargetState | None:
         """Choose an ejected target for which it is time to be tested."""
         if not self._usable.ejected or not call.idempotent or call.attempts:
             return None
-        for target in self._usable.to_try(self._states, now):
+        for target in self._usable.trial_candidates(self._states, now):
             if not self.limits.admits(target.identity, now):
                 continue
-            if self._ejector.wants_trial(target, now):
+            if self._ejector.is_trial_due(target, now):
                 target.trial_started = now
                 return target
         return None
 
     def none_left_for(self, call: Call, start_by: float) -> bool:
         """Tell whether no target is left that could take a request up to a time."""
-        left = (each for each in self if not self._usable.is_out_to(each, start_by))
+        left = (each for each in self if not self._usable.is_out_until(each, start_by))
         return all(call.tried(target) for target in left)
 
     def back_at(self, now: float) -> float | None:
         """Give the time at which the first rest ends; None if a target is in use."""
         if any(self._usable.lists(self._states, now)):
             return None
-        rests = (each.resting_until for each in self if each.resting_until > now)
+        rests = (each.back_off_until for each in self if each.back_off_until > now)
         return min(rests, default=None)
 
     @property
@@ -266,7 +270,7 @@
 
     def most_are_sound(self, now: float) -> bool:
         """Tell whether more than half of the targets did well last time."""
-        sound = sum(target.is_sound(now) for target in self)
+        sound = sum(target.is_healthy(now) for target in self)
         return 2 * sound > len(self)
 
     # -- learning ----------------------------------------------------------------
@@ -284,18 +288,18 @@
         target = self._states.get(identity)
         if target is not None and target.draining_until.get(source, 0) != until:
             target.draining_until[source] = until
-            self._usable.forget()
+            self._usable.invalidate()
 
-    def note_words(
-        self, identity: str, words: TargetWords, now: float, heard_by: str | None
+    def note_advisory(
+        self, identity: str, words: TargetAdvisory, now: float, heard_by: str | None
     ) -> None:
-        """Take in what a target says of itself; as `ServiceKnowledge.note_words`."""
+        """Take in what a target says of itself; as `ServiceState.note_advisory`."""
         target = self._states.get(identity)
         name = identity if target is None else target.name
         self._words.keep(identity, name, words, now, heard_by)
         if target is not None:
             self._words.recall(target)
-            self._usable.forget()
+            self._usable.invalidate()
 
     def note_check(
         self, identity: str, report: LoadReport | None, well: bool, now: float
@@ -309,11 +313,15 @@
             # It would look idle by what it said last.
             self._note_silence(target, now)
             return
-        if target.unheard:
-            self.events.note(target.name, Belief.HEARD, after_checks=target.unheard)
+        if target.missed_checks:
+            self.events.note(
+                target.name,
+                TargetCondition.RESPONSIVE,
+                after_checks=target.missed_checks,
+            )
         self._learning.learn_report(target, report, now)
         if not well:
-            target.unwell_until = now + UNWELL_S
+            target.unhealthy_until = now + UNWELL_S
 
     def note_warmup(self, identity: str, warm_at: float) -> None:
         """Take in the time in seconds to which a target is slow, as it is cold."""
@@ -321,18 +329,21 @@
         if target is not None:
             target.warm_at = warm_at
 
-    def note_unheard(self, identity: str, now: float) -> None:
+    def note_missed_check(self, identity: str, now: float) -> None:
         """Take in that a target has not answered a check in time."""
         target = self._states.get(identity)
         if target is not None:
             self._note_silence(target, now)
 
     def _note_silence(self, target, now):
-        target.note_unheard(now)
-        self._muted_until = max(self._muted_until, target.mute_until)
-        if target.unheard == 1:
+        target.note_missed_check(now)
+        self._muted_until = max(self._muted_until, target.checks_suspended_until)
+        if target.missed_checks == 1:
             self.events.note(
-                target.name, Belief.SILENT, in_flight=target.in_flight, checks=1
+                target.name,
+                TargetCondition.SILENT,
+                in_flight=target.in_flight,
+                checks=1,
             )
 
     def note_probe(self, identity: str, healthy: bool, now: float) -> None:
@@ -346,15 +357,15 @@
             return
         if now >= target.ejected_until + PROBE_RETURN_S:
             self._ejector.note_success(target, now)
-            self._usable.forget()
-            self.events.note(target.name, Belief.RETURNED, by="probe")
+            self._usable.invalidate()
+            self.events.note(target.name, TargetCondition.RETURNED, by="probe")
 
     def snapshot(self, now: float) -> list[dict]:
         """Give the state for a dump, as plain values."""
         return [self._snapshot_of(target, now) for target in self]
 
     def _snapshot_of(self, target, now):
-        load = target.load(now, self._chooser.trust, self._chooser.usual_others)
+        load = target.load(now, self._chooser.trust, self._chooser.mean_others_load)
         return {
             "name": target.name,
             "zone": target.record.zone,
@@ -363,7 +374,7 @@
             "latency_ms": round(target.latency * 1000, 3),
             "draining": target.is_draining(now),
             "ejected": bool(target.ejected_until),
-            "out_of_use": self._usable.reason_against(target, now),
+            "out_of_use": self._usable.out_of_use_reason(target, now),
             "failures": target.failures,
             "sent": target.sent,
         }
--- a/packages/policy/src/cairnferry/policy/shared/__init__.py
+++ b/packages/policy/src/cairnferry/policy/shared/__init__.py
@@ -1,57 +1,61 @@
 """What binds all daemons together: limits, permits, blocked requests, checks."""
 
+from cairnferry.policy.shared._advisories import AdvisoryRegistry, ExpiryRegistry
 from cairnferry.policy.shared._blocks import (
-    EVERYBODY,
-    SAME_END_S,
-    Barred,
+    ALL_CALLERS,
+    SAME_CRASH_S,
     Block,
     BlockRef,
-    End,
-    Free,
+    Quarantined,
     Suspect,
+    TargetCrash,
+    Unrestricted,
 )
-from cairnferry.policy.shared._cold import Cold, ColdBook
-from cairnferry.policy.shared._holds import HoldBook, TargetHolds
+from cairnferry.policy.shared._cold import ColdPeriod, ColdRegistry
 from cairnferry.policy.shared._identity import RequestIdentity
-from cairnferry.policy.shared._limits import NO_LIMIT, LimitBook, NamedLimit
-from cairnferry.policy.shared._permits import HOLD_S, Grant, PermitSchedule
+from cairnferry.policy.shared._limits import NO_LIMIT, AdvertisedLimit, LimitRegistry
+from cairnferry.policy.shared._permits import (
+    ISSUER_HOLD_OFF_S,
+    PermitGrant,
+    PermitSchedule,
+)
 from cairnferry.policy.shared._probes import ProbePlan, ProbeShare, probe_share
 from cairnferry.policy.shared._quarantine import (
-    ALONE_RETRY_S,
-    MEMORY_S,
+    EVIDENCE_RETENTION_S,
+    ISOLATED_RETRY_S,
     TRIAL_RETRY_S,
     Quarantine,
 )
-from cairnferry.policy.shared._target_limits import Permit, TargetLimits, Wanted
+from cairnferry.policy.shared._target_limits import Permit, PermitRequest, TargetLimits
 
 __all__ = [
-    "ALONE_RETRY_S",
-    "Barred",
+    "ISOLATED_RETRY_S",
+    "Quarantined",
     "Block",
     "BlockRef",
-    "Cold",
-    "ColdBook",
-    "EVERYBODY",
-    "End",
-    "Free",
-    "Grant",
-    "HOLD_S",
-    "HoldBook",
-    "LimitBook",
-    "MEMORY_S",
+    "ColdPeriod",
+    "ColdRegistry",
+    "ALL_CALLERS",
+    "TargetCrash",
+    "Unrestricted",
+    "PermitGrant",
+    "ISSUER_HOLD_OFF_S",
+    "ExpiryRegistry",
+    "LimitRegistry",
+    "EVIDENCE_RETENTION_S",
     "NO_LIMIT",
-    "NamedLimit",
+    "AdvertisedLimit",
     "Permit",
     "PermitSchedule",
     "ProbePlan",
     "ProbeShare",
     "Quarantine",
     "RequestIdentity",
-    "SAME_END_S",
+    "SAME_CRASH_S",
     "Suspect",
     "TRIAL_RETRY_S",
-    "TargetHolds",
+    "AdvisoryRegistry",
     "TargetLimits",
-    "Wanted",
+    "PermitRequest",
     "probe_share",
 ]
--- a/packages/policy/src/cairnferry/policy/shared/_holds.py
+++ b/packages/policy/src/cairnferry/policy/shared/_advisories.py
@@ -10,7 +10,7 @@
 
 
 @attrs.define
-class HoldBook:
+class ExpiryRegistry:
     """Times up to which something holds, by the names of targets' starts.
 
     Kept apart from what is learnt of targets, which is dropped with a row or a service
@@ -39,7 +39,7 @@
         """Give the targets of which it holds, and the times up to which it does."""
         return {name: until for name, until in self._until.items() if until > now}
 
-    def take_ended(self, now: float) -> list[str]:
+    def pop_expired(self, now: float) -> list[str]:
         """Forget what holds no more; give the targets."""
         ended = [name for name, until in self._until.items() if until <= now]
         for name in ended:
@@ -58,16 +58,16 @@
 
 
 @attrs.define
-class TargetHolds:
+class AdvisoryRegistry:
     """What targets have asked of this daemon.
 
     Attributes
     ----------
-    rests : HoldBook
+    rests : ExpiryRegistry
         Those that want no requests for a time.
-    leaving : HoldBook
+    leaving : ExpiryRegistry
         Those that are leaving by their own word.
     """
 
-    rests: HoldBook = attrs.field(factory=HoldBook)
-    leaving: HoldBook = attrs.field(factory=HoldBook)
+    back_offs: ExpiryRegistry = attrs.field(factory=ExpiryRegistry)
+    leaving: ExpiryRegistry = attrs.field(factory=ExpiryRegistry)
--- a/packages/policy/src/cairnferry/policy/shared/_blocks.py
+++ b/packages/policy/src/cairnferry/policy/shared/_blocks.py
@@ -17,13 +17,13 @@
 FORGET_S = 24 * 3600.0
 # Seconds within which ends of one target are the same end, seen by several daemons. A
 # target takes longer to start, and may do so under the same name.
-SAME_END_S = 1.0
+SAME_CRASH_S = 1.0
 # Scope of a block that holds for all callers.
-EVERYBODY = "*"
+ALL_CALLERS = "*"
 
 
 @attrs.frozen
-class End:
+class TargetCrash:
     """A target that ended with a request in hand.
 
     Attributes
@@ -41,11 +41,11 @@
     started: float
     ended: float
 
-    def is_same(self, other: "End") -> bool:
+    def is_same(self, other: "TargetCrash") -> bool:
         """Tell whether both are one end, under requests of one caller."""
         if (self.target, self.caller) != (other.target, other.caller):
             return False
-        return abs(self.ended - other.ended) < SAME_END_S
+        return abs(self.ended - other.ended) < SAME_CRASH_S
 
 
 @attrs.frozen
@@ -73,7 +73,7 @@
         pauses = (FIRST_TRIAL_S * TRIAL_FACTOR**n for n in range(self.trials + 1))
         return self.at + sum(min(MAX_TRIAL_S, pause) for pause in pauses)
 
-    def holds(self, now: float) -> bool:
+    def is_in_effect(self, now: float) -> bool:
         """Tell whether it is in force."""
         return now < self.next_trial + FORGET_S
 
@@ -87,7 +87,7 @@
     content : str
         Digest of the request.
     scope : str
-        Tag of the caller for which it holds, or `EVERYBODY`.
+        Tag of the caller for which it holds, or `ALL_CALLERS`.
     """
 
     content: str
@@ -95,7 +95,7 @@
 
 
 @attrs.frozen
-class Free:
+class Unrestricted:
     """Nothing is held against the request."""
 
 
@@ -109,11 +109,11 @@
         Whether it is to be run by itself, and not sent on.
     """
 
-    alone: bool
+    isolated: bool
 
 
 @attrs.frozen
-class Barred:
+class Quarantined:
     """The request is kept from targets.
 
     Attributes
@@ -131,11 +131,11 @@
     retry_after: float
 
 
-Verdict = Free | Suspect | Barred
-FREE = Free()
+Verdict = Unrestricted | Suspect | Quarantined
+UNRESTRICTED = Unrestricted()
 
 
-def runs_in_turn(ends: Iterable[End]) -> list[End]:
+def runs_in_turn(ends: Iterable[TargetCrash]) -> list[TargetCrash]:
     """Give the ends that prove something: each run began after the one before ended.
 
     A rack that is lost, and a request that several daemons run at the same moment, are
@@ -148,7 +148,7 @@
     return runs
 
 
-def runs_of_several(ends: Collection[End]) -> list[End]:
+def runs_of_several(ends: Collection[TargetCrash]) -> list[TargetCrash]:
     """Give three runs in turn, of two callers or more; none if there are none.
 
     Of all such the ones that begin last. Any three will do, not those in the chain of
--- a/packages/policy/src/cairnferry/policy/shared/_cold.py
+++ b/packages/policy/src/cairnferry/policy/shared/_cold.py
@@ -14,7 +14,7 @@
 
 
 @attrs.frozen
-class Cold:
+class ColdPeriod:
     """What is known of a cold target.
 
     Attributes
@@ -31,7 +31,7 @@
 
 
 @attrs.define
-class ColdBook:
+class ColdRegistry:
     """Cold targets, by the names of their starts.
 
     Words of the target itself, in answers to status checks, replace what was known.
@@ -39,18 +39,20 @@
     is spared for a second too long loses little.
     """
 
-    _cold: dict[str, Cold] = attrs.field(factory=dict)
+    _cold: dict[str, ColdPeriod] = attrs.field(factory=dict)
     _rows: dict[str, float] = attrs.field(factory=dict)
 
     def __len__(self):
         """Give the number of targets that are cold."""
         return len(self._cold)
 
-    def get(self, identity: str) -> Cold | None:
+    def get(self, identity: str) -> ColdPeriod | None:
         """Give what is known of a target; None if it is warm."""
         return self._cold.get(identity)
 
-    def note_word(self, identity: str, until: float, per_s: float, now: float) -> bool:
+    def note_own_report(
+        self, identity: str, until: float, per_s: float, now: float
+    ) -> bool:
         """Take in what a target says of itself; tell whether others should know.
 
         Parameters
@@ -69,15 +71,15 @@
             self._cold.pop(identity, None)
             return False
         since = known.since if known else now
-        self._cold[identity] = Cold(since, until, per_s)
+        self._cold[identity] = ColdPeriod(since, until, per_s)
         return known is None or until > known.until + WORTH_TELLING_S
 
-    def hear(self, identity: str, until: float, per_s: float, now: float) -> bool:
+    def receive(self, identity: str, until: float, per_s: float, now: float) -> bool:
         """Take in what another daemon tells; tell whether it was taken for warm."""
         known = self._cold.get(identity)
         if until <= now or (known and known.until >= until):
             return False
-        self._cold[identity] = Cold(known.since if known else now, until, per_s)
+        self._cold[identity] = ColdPeriod(known.since if known else now, until, per_s)
         return known is None
 
     def note_row(self, identity: str, until: float, per_s: float, now: float) -> bool:
@@ -85,7 +87,7 @@
         if until <= now or self._rows.get(identity) == until:
             return False
         self._rows[identity] = until
-        return self.hear(identity, until, per_s, now)
+        return self.receive(identity, until, per_s, now)
 
     def drop_warm(self, now: float) -> list[str]:
         """Forget the targets that are warm by now; give them."""
--- a/packages/policy/src/cairnferry/policy/shared/_limits.py
+++ b/packages/policy/src/cairnferry/policy/shared/_limits.py
@@ -24,7 +24,7 @@
 
 
 @attrs.frozen
-class NamedLimit:
+class AdvertisedLimit:
     """What a target said last.
 
     Attributes
@@ -40,7 +40,7 @@
 
 
 @attrs.define
-class LimitBook:
+class LimitRegistry:
     """The last word of each target, in whatever order words come.
 
     A limit counts from when it was heard. That one is over counts from when the
@@ -48,7 +48,7 @@
     limit that was heard meanwhile.
     """
 
-    _known: dict[str, NamedLimit] = attrs.field(factory=dict)
+    _known: dict[str, AdvertisedLimit] = attrs.field(factory=dict)
     _in_force: dict[str, float] = attrs.field(factory=dict)
 
     def __len__(self):
@@ -78,13 +78,13 @@
         if per_s == NO_LIMIT:
             if known is None or known.per_s == NO_LIMIT or sent <= known.at:
                 return False
-            return self._set(identity, NamedLimit(NO_LIMIT, sent))
+            return self._set(identity, AdvertisedLimit(NO_LIMIT, sent))
         if known is not None and sent <= known.at:
             # Both may be the later one. Keeping the lower burdens nobody.
             per_s = min(per_s, known.per_s)
-        return self._set(identity, NamedLimit(per_s, heard))
+        return self._set(identity, AdvertisedLimit(per_s, heard))
 
-    def hear(self, identity: str, told: NamedLimit) -> bool:
+    def receive(self, identity: str, told: AdvertisedLimit) -> bool:
         """Take in what another daemon knows; tell whether the limit is another one."""
         known = self._known.get(identity)
         if known is not None and known.at >= told.at:
@@ -102,7 +102,7 @@
             self._in_force[identity] = max(LEAST_RATE, limit.per_s)
         return limit.per_s != before
 
-    def get(self, identity: str) -> NamedLimit:
+    def get(self, identity: str) -> AdvertisedLimit:
         """Give the last word of a target."""
         return self._known.get(identity, _NOTHING_SAID)
 
@@ -110,7 +110,7 @@
         """Give the requests a second that all may send it; None for any number."""
         return self._in_force.get(identity)
 
-    def in_force(self) -> dict[str, NamedLimit]:
+    def in_force(self) -> dict[str, AdvertisedLimit]:
         """Give the limits that hold, by the names of targets' starts."""
         return {identity: self._known[identity] for identity in self._in_force}
 
@@ -131,4 +131,4 @@
         self._in_force.pop(identity, None)
 
 
-_NOTHING_SAID = NamedLimit(NO_LIMIT, -math.inf)
+_NOTHING_SAID = AdvertisedLimit(NO_LIMIT, -math.inf)
--- a/packages/policy/src/cairnferry/policy/shared/_permits.py
+++ b/packages/policy/src/cairnferry/policy/shared/_permits.py
@@ -19,7 +19,7 @@
 PERMIT_S = 1.0
 # Seconds for which one that has just begun to give permits gives none: those of the one
 # before may be about to be used, and what these two give adds up.
-HOLD_S = 0.5
+ISSUER_HOLD_OFF_S = 0.5
 # Seconds for which one that asked counts among those that do.
 ASKER_S = 3.0
 # Least and most seconds after which one that got none asks again.
@@ -28,7 +28,7 @@
 
 
 @attrs.frozen
-class Grant:
+class PermitGrant:
     """The answer to one that asks for permits.
 
     Attributes
@@ -61,12 +61,12 @@
 
     @classmethod
     def begin(
-        cls, now: float, rng: random.Random, hold_s: float = HOLD_S
+        cls, now: float, rng: random.Random, hold_s: float = ISSUER_HOLD_OFF_S
     ) -> "PermitSchedule":
         """Begin to give permits, after the hold."""
         return cls(now + hold_s, rng)
 
-    def grant(self, asker: str, rate: float, wanted: int, now: float) -> Grant:
+    def grant(self, asker: str, rate: float, wanted: int, now: float) -> PermitGrant:
         """Give permits to one that asks.
 
         Parameters
@@ -89,7 +89,7 @@
         while len(delays) < min(wanted, most) and self.next_at <= now + AHEAD_S:
             delays.append(max(0.0, self.next_at - now))
             self.next_at += 1 / rate
-        return Grant(tuple(delays), self._retry_after(askers, rate, now))
+        return PermitGrant(tuple(delays), self._retry_after(askers, rate, now))
 
     def _count_askers(self, asker, now):
         self._askers[asker] = now
@@ -105,10 +105,10 @@
         spread = min(MAX_RETRY_S - first, (askers - 1) / rate)
         return min(MAX_RETRY_S, first + self.rng.random() * max(0.0, spread))
 
-    def give_back(self, count: int, rate: float) -> None:
+    def return_unused(self, count: int, rate: float) -> None:
         """Take back permits that were not used, for the next that ask."""
         self.next_at -= count / rate
 
-    def start_anew(self, rate: float, now: float) -> None:
+    def restart(self, rate: float, now: float) -> None:
         """Go on at another rate: what was given before is void."""
         self.next_at = now + 1 / rate
--- a/packages/policy/src/cairnferry/policy/shared/_quarantine.py
+++ b/packages/policy/src/cairnferry/policy/shared/_quarantine.py
@@ -15,13 +15,13 @@
 import attrs
 
 from cairnferry.policy.shared._blocks import (
-    EVERYBODY,
-    FREE,
-    Barred,
+    ALL_CALLERS,
+    UNRESTRICTED,
     Block,
     BlockRef,
-    End,
+    Quarantined,
     Suspect,
+    TargetCrash,
     Verdict,
     runs_in_turn,
     runs_of_several,
@@ -42,7 +42,7 @@
 CALLERS_TO_BLOCK_ALL = 2
 # Seconds for which ends are kept in mind. A request that its caller sends every few
 # minutes would else never be blamed.
-MEMORY_S = 600.0
+EVIDENCE_RETENTION_S = 600.0
 # Requests that are kept in mind, with ends and answers of each. A flood of requests
 # that each end a target would else fill an instance's memory; with these it takes
 # 6.6 MB (tracemalloc, all of them full).
@@ -50,7 +50,7 @@
 MAX_ENDS = 24
 MAX_ANSWERS = 24
 # Seconds after which one that found another of its kind running may come back.
-ALONE_RETRY_S = 1.0
+ISOLATED_RETRY_S = 1.0
 # Seconds after which one that found another one trying may come back.
 TRIAL_RETRY_S = 5.0
 
@@ -59,14 +59,14 @@
 class _Case:
     """What is held against one request."""
 
-    ends: list[End] = attrs.field(factory=list)
+    ends: list[TargetCrash] = attrs.field(factory=list)
     answers: dict[str, float] = attrs.field(factory=dict)
     blocks: dict[str, Block] = attrs.field(factory=dict)
     running: int = 0
 
     def runs(self, scope):
         """Give the runs, one after the other, that speak against a scope."""
-        if scope != EVERYBODY:
+        if scope != ALL_CALLERS:
             return runs_in_turn(end for end in self.ends if end.caller == scope)
         ends = self._ends_of_all()
         if len({end.caller for end in ends}) < CALLERS_TO_BLOCK_ALL:
@@ -75,18 +75,18 @@
 
     def proof(self, scope):
         """Give the runs that prove enough against a scope; none if there are none."""
-        if scope == EVERYBODY:
+        if scope == ALL_CALLERS:
             return runs_of_several(self._ends_of_all())
         runs = self.runs(scope)[-ENDS_TO_BLOCK:]
         return runs if len(runs) == ENDS_TO_BLOCK else []
 
     def _ends_of_all(self):
-        last = self.answered_at(EVERYBODY)
+        last = self.answered_at(ALL_CALLERS)
         return [end for end in self.ends if end.started >= last]
 
     def block_for(self, caller):
         """Give the scope and the block that holds for a caller, if there is one."""
-        for scope in (EVERYBODY, caller):
+        for scope in (ALL_CALLERS, caller):
             block = self.blocks.get(scope)
             if block is not None:
                 return scope, block
@@ -94,13 +94,13 @@
 
     def answered_at(self, scope):
         """Give when an answer last cleared a scope; any answer clears all callers."""
-        if scope == EVERYBODY:
+        if scope == ALL_CALLERS:
             return max(self.answers.values(), default=-math.inf)
-        return max(self.answers.get(who, -math.inf) for who in (EVERYBODY, scope))
+        return max(self.answers.get(who, -math.inf) for who in (ALL_CALLERS, scope))
 
-    def drop_lapsed(self, now):
-        self.ends = [end for end in self.ends if now - end.ended < MEMORY_S]
-        self.blocks = {s: b for s, b in self.blocks.items() if b.holds(now)}
+    def drop_expired(self, now):
+        self.ends = [end for end in self.ends if now - end.ended < EVIDENCE_RETENTION_S]
+        self.blocks = {s: b for s, b in self.blocks.items() if b.is_in_effect(now)}
 
 
 class Quarantine:
@@ -119,20 +119,20 @@
 
     # -- requests ----------------------------------------------------------------
 
-    def judge(self, identity: RequestIdentity, now: float) -> Verdict:
+    def check(self, identity: RequestIdentity, now: float) -> Verdict:
         """Decide whether a request may be sent to a target."""
         case = self._case_of(identity)
         if case is None:
-            return FREE
-        case.drop_lapsed(now)
+            return UNRESTRICTED
+        case.drop_expired(now)
         caller = identity.caller_tag
         found = case.block_for(caller)
         if found is not None:
             scope, block = found
             left = max(0.0, block.next_trial - now)
-            return Barred(BlockRef(identity.content, scope), block, left)
-        runs = max(len(case.runs(scope)) for scope in (EVERYBODY, caller))
-        return Suspect(runs >= ENDS_TO_ISOLATE) if runs else FREE
+            return Quarantined(BlockRef(identity.content, scope), block, left)
+        runs = max(len(case.runs(scope)) for scope in (ALL_CALLERS, caller))
+        return Suspect(runs >= ENDS_TO_ISOLATE) if runs else UNRESTRICTED
 
     def begin(self, identity: RequestIdentity) -> bool:
         """Take in that a suspect is run; tell whether no other one of its kind is."""
@@ -156,14 +156,14 @@
 
     # -- what happens --------------------------------------------------------------
 
-    def note_end(self, content: str, end: End, now: float) -> bool:
+    def note_crash(self, content: str, end: TargetCrash, now: float) -> bool:
         """Take in an end; tell whether it was news that counts.
 
         Parameters
         ----------
         content : str
             Digest of the request.
-        end : End
+        end : TargetCrash
             The end.
         now : float
             Time in seconds.
@@ -175,32 +175,32 @@
             return False
         case.ends.append(end)
         del case.ends[:-MAX_ENDS]
-        case.drop_lapsed(now)
+        case.drop_expired(now)
         self._cases.move_to_end(content)
         return True
 
-    def blame(self, content: str, now: float) -> list[tuple[BlockRef, Block]]:
+    def block_if_proven(self, content: str, now: float) -> list[tuple[BlockRef, Block]]:
         """Set the blocks that the ends of a request prove; give those that are new.
 
         All of them at once: one that waited for the next end would be missing at a
         daemon that hears of no further one.
         """
         case = self._cases.get(content)
-        if case is None or EVERYBODY in case.blocks:
+        if case is None or ALL_CALLERS in case.blocks:
             return []
-        case.drop_lapsed(now)
+        case.drop_expired(now)
         callers = {end.caller for end in case.ends} - case.blocks.keys()
         found = []
-        for scope in (EVERYBODY, *sorted(callers)):
+        for scope in (ALL_CALLERS, *sorted(callers)):
             runs = case.proof(scope)
             block = runs and Block(runs[-1].ended, runs[0].started)
-            if block and self.take_block(content, scope, block):
+            if block and self.apply_block(content, scope, block):
                 found.append((BlockRef(content, scope), block))
-            if EVERYBODY in case.blocks:
+            if ALL_CALLERS in case.blocks:
                 break
         return found
 
-    def is_held(self, identity: RequestIdentity) -> bool:
+    def is_suspected(self, identity: RequestIdentity) -> bool:
         """Tell whether anything is held against a request."""
         case = self._case_of(identity)
         return case is not None and bool(case.ends or case.blocks)
@@ -211,14 +211,14 @@
         One that ends each target that runs it gets no answer: whatever ended those
         that it was in hand at, it was not this request.
 
-        What is left may still blame it: `blame` is to be called after it.
+        What is left may still blame it: `block_if_proven` is to be called after it.
 
         Parameters
         ----------
         content : str
             Digest of the request.
         caller : str
-            Tag of the caller that got the answer; `EVERYBODY` clears it for all.
+            Tag of the caller that got the answer; `ALL_CALLERS` clears it for all.
         at : float
             Time in seconds of the answer.
         """
@@ -231,15 +231,15 @@
         case.ends = [
             end
             for end in case.ends
-            if end.started >= at or caller not in (EVERYBODY, end.caller)
+            if end.started >= at or caller not in (ALL_CALLERS, end.caller)
         ]
-        scopes = list(case.blocks) if caller == EVERYBODY else [EVERYBODY, caller]
+        scopes = list(case.blocks) if caller == ALL_CALLERS else [ALL_CALLERS, caller]
         lifted = [s for s in scopes if s in case.blocks and case.blocks[s].since < at]
         for scope in lifted:
             del case.blocks[scope]
         return [BlockRef(content, scope) for scope in lifted]
 
-    def take_block(self, content: str, scope: str, block: Block) -> bool:
+    def apply_block(self, content: str, scope: str, block: Block) -> bool:
         """Take in a block, set here or by another daemon; tell whether it is news.
 
         Of two the one with more trials goes: who made the last trial knows best.
@@ -251,7 +251,7 @@
         known = case.blocks.get(scope)
         if known is not None and known.trials >= block.trials:
             return False
-        if scope == EVERYBODY:
+        if scope == ALL_CALLERS:
             case.blocks.clear()
         case.blocks[scope] = block
         self._cases.move_to_end(content)
@@ -262,11 +262,11 @@
         case = self._cases.get(ref.content)
         return case and case.blocks.get(ref.scope)
 
-    def is_over(self, ref: BlockRef, block: Block, now: float) -> bool:
+    def is_block_over(self, ref: BlockRef, block: Block, now: float) -> bool:
         """Tell whether a block has run out, or was lifted."""
         case = self._cases.get(ref.content)
         answered = case.answered_at(ref.scope) if case else -math.inf
-        return answered > block.since or not block.holds(now)
+        return answered > block.since or not block.is_in_effect(now)
 
     def blocks(self, now: float) -> dict[BlockRef, Block]:
         """Give all blocks that are in force."""
@@ -274,7 +274,7 @@
             BlockRef(content, scope): block
             for content, case in self._cases.items()
             for scope, block in case.blocks.items()
-            if block.holds(now)
+            if block.is_in_effect(now)
         }
 
     # -- bounds --------------------------------------------------------------------
@@ -301,10 +301,12 @@
         if not self._heads[head]:
             del self._heads[head]
 
-    def drop_lapsed(self, now: float) -> None:
+    def drop_expired(self, now: float) -> None:
         """Forget requests against which nothing is held any more."""
         for content, case in list(self._cases.items()):
-            case.drop_lapsed(now)
-            case.answers = {c: t for c, t in case.answers.items() if now - t < MEMORY_S}
+            case.drop_expired(now)
+            case.answers = {
+                c: t for c, t in case.answers.items() if now - t < EVIDENCE_RETENTION_S
+            }
             if not (case.ends or case.blocks or case.answers or case.running):
                 self._drop(content)
--- a/packages/policy/src/cairnferry/policy/shared/_target_limits.py
+++ b/packages/policy/src/cairnferry/policy/shared/_target_limits.py
@@ -8,8 +8,8 @@
 
 import attrs
 
-from cairnferry.policy.shared._cold import ColdBook
-from cairnferry.policy.shared._limits import LimitBook
+from cairnferry.policy.shared._cold import ColdRegistry
+from cairnferry.policy.shared._limits import LimitRegistry
 from cairnferry.policy.shared._permits import PERMIT_S
 from cairnferry.records import Target
 
@@ -62,7 +62,7 @@
 
 
 @attrs.frozen
-class Wanted:
+class PermitRequest:
     """Permits to ask for.
 
     Attributes
@@ -85,27 +85,27 @@
 
     Attributes
     ----------
-    book : LimitBook
+    book : LimitRegistry
         Limits that targets name.
-    cold : ColdBook
+    cold : ColdRegistry
         Targets that are cold.
     sent : dict of str to int
         Requests sent to each target while it had a limit, by the names of their starts.
     """
 
-    book: LimitBook = attrs.field(factory=LimitBook)
-    cold: ColdBook = attrs.field(factory=ColdBook)
+    advertised: LimitRegistry = attrs.field(factory=LimitRegistry)
+    cold: ColdRegistry = attrs.field(factory=ColdRegistry)
     sent: dict[str, int] = attrs.field(factory=dict)
     _permits: dict[str, deque[Permit]] = attrs.field(factory=dict)
     _given: int = 0
 
     def __bool__(self):
         """Tell whether any target has a limit."""
-        return len(self.book) > 0 or len(self.cold) > 0
+        return len(self.advertised) > 0 or len(self.cold) > 0
 
     def rate(self, identity: str) -> float | None:
         """Give the requests a second that a target takes; None for any number."""
-        named = self.book.rate(identity)
+        named = self.advertised.rate(identity)
         cold = self.cold.get(identity)
         if cold is None:
             return named
@@ -139,7 +139,7 @@
             choose = max if urgent else min
             held.remove(choose(usable, key=lambda permit: permit.open_at))
 
-    def take_in(self, identity: str, starts: list[float]) -> None:
+    def add_permits(self, identity: str, starts: list[float]) -> None:
         """Take in permits that were given, by the times from which they hold."""
         held = self._permits.setdefault(identity, deque())
         for start in starts:
@@ -155,11 +155,11 @@
         held = self._permits.get(identity, ())
         return min((permit.first_use(urgent, now) for permit in held), default=math.inf)
 
-    def void(self, identity: str) -> None:
+    def discard_permits(self, identity: str) -> None:
         """Drop the permits for a target, as they were given under another limit."""
         self._permits.pop(identity, None)
 
-    def take_lapsed(self, now: float) -> dict[str, int]:
+    def pop_expired(self, now: float) -> dict[str, int]:
         """Drop the permits whose time is over; count them by target."""
         lapsed = {}
         for identity, held in list(self._permits.items()):
--- a/packages/policy/src/cairnferry/policy/targets/_words.py
+++ b/packages/policy/src/cairnferry/policy/targets/_advisory.py
@@ -4,7 +4,7 @@
 
 
 @attrs.frozen
-class WordFault:
+class AdvisoryFault:
     """A header that cannot be read; it changes nothing.
 
     Attributes
@@ -18,7 +18,7 @@
 
 
 @attrs.frozen
-class TargetWords:
+class TargetAdvisory:
     """What an answer says of its target.
 
     Attributes
@@ -29,13 +29,13 @@
     leaving_s : float
         Seconds for which its word that it is leaving holds; infinite where each start
         of a target has a name of its own, 0 if it does not say so.
-    faults : tuple of WordFault
+    faults : tuple of AdvisoryFault
         What cannot be read.
     """
 
-    rest_s: float = 0.0
+    back_off_s: float = 0.0
     leaving_s: float = 0.0
-    faults: tuple[WordFault, ...] = ()
+    faults: tuple[AdvisoryFault, ...] = ()
 
 
-NO_WORDS = TargetWords()
+NO_ADVISORY = TargetAdvisory()
--- a/packages/policy/src/cairnferry/policy/targets/_ejection.py
+++ b/packages/policy/src/cairnferry/policy/targets/_ejection.py
@@ -64,7 +64,7 @@
         target.ejections = min(target.ejections + 1, 30)
         target.ejected_until = now + duration
 
-    def wants_trial(self, target: TargetState, now: float) -> bool:
+    def is_trial_due(self, target: TargetState, now: float) -> bool:
         """Tell whether one request may test an ejected target now."""
         if not target.ejected_until or now < target.ejected_until:
             return False
--- a/packages/policy/src/cairnferry/policy/targets/_events.py
+++ b/packages/policy/src/cairnferry/policy/targets/_events.py
@@ -9,14 +9,14 @@
 MAX_KEPT = 256
 
 
-class Belief(enum.StrEnum):
+class TargetCondition(enum.StrEnum):
     """What is believed from now on."""
 
     EJECTED = "ejected"
     RETURNED = "returned"
     SILENT = "silent"
-    HEARD = "heard again"
-    RESTING = "asks for rest"
+    RESPONSIVE = "heard again"
+    BACKING_OFF = "asks for rest"
     LEAVING = "is leaving"
 
 
@@ -28,14 +28,14 @@
     ----------
     target : str
         Name of the target.
-    belief : Belief
+    belief : TargetCondition
         What is believed now.
     inputs : dict
         What decided it.
     """
 
     target: str
-    belief: Belief
+    condition: TargetCondition
     inputs: dict
 
 
@@ -45,9 +45,9 @@
 
     _events: deque[TargetEvent] = attrs.field(factory=lambda: deque(maxlen=MAX_KEPT))
 
-    def note(self, target: str, belief: Belief, **inputs) -> None:
+    def note(self, target: str, condition: TargetCondition, **inputs) -> None:
         """Add an event."""
-        self._events.append(TargetEvent(target, belief, inputs))
+        self._events.append(TargetEvent(target, condition, inputs))
 
     def take(self) -> list[TargetEvent]:
         """Give the events since the last call."""
--- a/packages/policy/src/cairnferry/policy/targets/_report.py
+++ b/packages/policy/src/cairnferry/policy/targets/_report.py
@@ -16,4 +16,4 @@
     """
 
     in_use: float
-    pace: float = 1.0
+    slowdown: float = 1.0
--- a/packages/policy/src/cairnferry/policy/targets/_target.py
+++ b/packages/policy/src/cairnferry/policy/targets/_target.py
@@ -11,7 +11,7 @@
 
 UNKNOWN_LATENCY_S = 0.0
 # Answers this many times slower than usual are taken for a slow target.
-CLEARLY_SLOWER = 2.0
+SLOW_TARGET_FACTOR = 2.0
 SLOW_GAIN = 0.7
 # Seconds for which a target is not asked again after it gave no answer in time, and
 # how often that is doubled. Each request that asks it waits 30 ms for nothing.
@@ -100,14 +100,14 @@
     draining_until: dict[DrainSource, float] = attrs.field(factory=dict)
     refusals: int = 0
     sent: int = 0
-    pace: float = 1.0
+    slowdown: float = 1.0
     reported_in_use: float = 0.0
     warm_at: float = -math.inf
-    unwell_until: float = -math.inf
+    unhealthy_until: float = -math.inf
     checked_at: float = -math.inf
-    unheard: int = 0
-    mute_until: float = -math.inf
-    resting_until: float = -math.inf
+    missed_checks: int = 0
+    checks_suspended_until: float = -math.inf
+    back_off_until: float = -math.inf
 
     @property
     def name(self) -> str:
@@ -121,15 +121,15 @@
         draining = self.draining_until
         return bool(draining) and any(until > now for until in draining.values())
 
-    def wants_none(self, now: float) -> bool:
+    def is_unavailable(self, now: float) -> bool:
         """Tell whether it rests or leaves, so that nothing more may be sent to it."""
-        return self.resting_until > now or self.is_draining(now)
+        return self.back_off_until > now or self.is_draining(now)
 
-    def is_sound(self, now: float) -> bool:
+    def is_healthy(self, now: float) -> bool:
         """Tell whether its last result was good and nobody says that it leaves."""
         return not self.failures and not self.refusals and not self.is_draining(now)
 
-    def load(self, now: float, trust: ReportTrust, usual_others: float) -> float:
+    def load(self, now: float, trust: ReportTrust, mean_others_load: float) -> float:
         """Estimate the requests at the target as a share of its slots.
 
         Parameters
@@ -149,7 +149,7 @@
         known, and all daemons would send there.
         """
         weight = trust.weight * math.exp((self.reported_at - now) / trust.decay)
-        others = usual_others + (self.others_load - usual_others) * weight
+        others = mean_others_load + (self.others_load - mean_others_load) * weight
         return self.in_flight / self.record.slots + others
 
     def slowness(self, now: float, usual: float, memory: float) -> float:
@@ -178,13 +178,13 @@
         if not usual:
             return 1.0
         slow = self.latency / usual
-        if slow > CLEARLY_SLOWER:
+        if slow > SLOW_TARGET_FACTOR:
             # A slow target gets few requests, so its estimate would stay as it
             # was for ever. It fades towards the usual, and is tried again.
             slow = 1 + (slow - 1) * 0.5 ** ((now - self.latency_at) / memory)
         if self.starts:
             slow = max(slow, (now - self.starts[0]) / usual)
-        return slow if slow > CLEARLY_SLOWER else 1.0
+        return slow if slow > SLOW_TARGET_FACTOR else 1.0
 
     def note_sent(self, now: float) -> None:
         """Count a request that is sent."""
@@ -192,7 +192,7 @@
         self.sent += 1
         self.starts.append(now)
 
-    def note_ended(self, started: float) -> None:
+    def note_finished(self, started: float) -> None:
         """Count a request that ended."""
         self.in_flight -= 1
         self.starts.remove(started)
@@ -201,7 +201,7 @@
         """Take in an answer time in seconds."""
         if self.latency == UNKNOWN_LATENCY_S:
             self.latency = sample
-        elif sample > CLEARLY_SLOWER * self.latency:
+        elif sample > SLOW_TARGET_FACTOR * self.latency:
             # The next requests go elsewhere the sooner this is believed.
             self.latency += SLOW_GAIN * (sample - self.latency)
         else:
@@ -217,17 +217,17 @@
         self.others_load = others / self.record.slots
         self.reported_at = now
         self.reported_in_use = report.in_use
-        self.pace = report.pace
-        self.unheard = 0
-        self.mute_until = -math.inf
+        self.slowdown = report.slowdown
+        self.missed_checks = 0
+        self.checks_suspended_until = -math.inf
 
-    def note_unheard(self, now: float) -> None:
+    def note_missed_check(self, now: float) -> None:
         """Take in that it did not answer a check in time."""
         self.checked_at = now
         self.reported_at = -math.inf
-        pause = MUTE_S * 2 ** min(self.unheard, MAX_MUTE_DOUBLINGS)
-        self.unheard += 1
-        self.mute_until = now + pause
+        pause = MUTE_S * 2 ** min(self.missed_checks, MAX_MUTE_DOUBLINGS)
+        self.missed_checks += 1
+        self.checks_suspended_until = now + pause
 
     def expected_in_use(self) -> float:
         """Give the requests there at the last report and those sent since."""
--- a/packages/policy/src/cairnferry/policy/usable/_limited_targets.py
+++ b/packages/policy/src/cairnferry/policy/usable/_limited_targets.py
@@ -9,8 +9,8 @@
 
 import attrs
 
-from cairnferry.policy.requests import Ask
-from cairnferry.policy.shared import TargetLimits, Wanted
+from cairnferry.policy.requests import CheckStatus
+from cairnferry.policy.shared import PermitRequest, TargetLimits
 from cairnferry.policy.targets import TargetState
 
 # Limited targets of the own zone, and of others, for which a daemon asks for permits:
@@ -25,7 +25,7 @@
 
 
 @attrs.frozen
-class Usable:
+class CandidateLists:
     """Targets that are in use, in the order in which they are asked.
 
     Attributes
@@ -54,14 +54,16 @@
     zone: str
     _far_wanted_until: float = -math.inf
 
-    def open_to(self, usable: Usable, urgent: bool, now: float) -> Usable:
+    def filter_by_limit(
+        self, usable: CandidateLists, urgent: bool, now: float
+    ) -> CandidateLists:
         """Leave out what a request may not go to now; what permits are for goes first.
 
         What a limited target does take would else be lost where others have room.
 
         Parameters
         ----------
-        usable : Usable
+        usable : CandidateLists
             Targets in use that the request has not tried.
         urgent : bool
             Whether no other requests of the service are more urgent.
@@ -71,7 +73,7 @@
         near, far = self._free(usable.near), self._free(usable.far)
         # Where others have no limit nobody has to stand back.
         urgent = urgent or bool(near or far)
-        return Usable(
+        return CandidateLists(
             self._permitted(usable.near, urgent, now) + near,
             self._permitted(usable.far, urgent, now) + far,
         )
@@ -90,7 +92,9 @@
             if self.limits.has_permit(target.identity, now, urgent)
         ]
 
-    def next_permit(self, usable: Usable, urgent: bool, now: float) -> float | None:
+    def next_permit(
+        self, usable: CandidateLists, urgent: bool, now: float
+    ) -> float | None:
         """Give the time from which a request may go to a limited target.
 
         Returns
@@ -106,13 +110,15 @@
 
     # -- permits to ask for --------------------------------------------------------
 
-    def note_found(self, found: TargetState | Ask | None, now: float) -> None:
+    def note_search_result(
+        self, found: TargetState | CheckStatus | None, now: float
+    ) -> None:
         """Take in what a search gave: whether near targets did not suffice.
 
         Permits for targets of other zones are of use only then.
         """
         match found:
-            case Ask(targets):
+            case CheckStatus(targets):
                 is_far = targets[0].zone != self.zone
             case None:
                 is_far = True
@@ -121,14 +127,14 @@
         if is_far:
             self._far_wanted_until = now + FAR_WANTED_S
 
-    def permits_wanted(
+    def permits_to_request(
         self,
-        usable: Usable,
+        usable: CandidateLists,
         ejected: list[TargetState],
         expected: int,
         barred: Container[str],
         now: float,
-    ) -> list[Wanted]:
+    ) -> list[PermitRequest]:
         """Give the permits that are worth asking for.
 
         No more than there are requests to use them, as what is held here and not used
@@ -137,7 +143,7 @@
 
         Parameters
         ----------
-        usable : Usable
+        usable : CandidateLists
             Targets in use.
         ejected : list of TargetState
             Those that are out of use.
@@ -159,7 +165,7 @@
             most = 1 if target.ejected_until else share
             count = min(most - held, expected)
             if count > 0:
-                wanted.append(Wanted(target.record, count))
+                wanted.append(PermitRequest(target.record, count))
                 expected -= count
         return wanted
 
--- a/packages/policy/src/cairnferry/policy/usable/_usable.py
+++ b/packages/policy/src/cairnferry/policy/usable/_usable.py
@@ -22,7 +22,7 @@
 
     DRAINING = "draining"
     EVACUATED = "evacuated"
-    RESTING = "resting"
+    BACKING_OFF = "resting"
     EJECTED = "ejected"
     PAUSED = "paused"
 
@@ -47,14 +47,14 @@
     """
 
     zone: str
-    place: float = 0.0
+    ring_position: float = 0.0
     evacuated: frozenset[str] = frozenset()
     ejected: list[TargetState] = attrs.field(factory=list)
     _near: list[TargetState] = attrs.field(factory=list)
     _far: list[TargetState] = attrs.field(factory=list)
     _valid_until: float = -math.inf
 
-    def forget(self) -> None:
+    def invalidate(self) -> None:
         """Work the lists out again when they are next needed."""
         self._valid_until = -math.inf
 
@@ -69,7 +69,9 @@
             self._work_out(targets, now)
         return self._near, self._far
 
-    def to_try(self, targets: dict[str, TargetState], now: float) -> list[TargetState]:
+    def trial_candidates(
+        self, targets: dict[str, TargetState], now: float
+    ) -> list[TargetState]:
         """Give the ejected targets that nothing else keeps out of use."""
         self.lists(targets, now)
         return self.ejected
@@ -82,12 +84,12 @@
         ring = sorted(targets.values(), key=_on_ring)
         near = [target for target in ring if target.record.zone == self.zone]
         far = [target for target in ring if target.record.zone != self.zone]
-        for target in (*self._from_place(near), *self._from_place(far)):
+        for target in (*self._from_ring_position(near), *self._from_ring_position(far)):
             self._sort_in(target, now)
 
-    def _from_place(self, ring):
+    def _from_ring_position(self, ring):
         """Begin at the own place: counted over all, so that a pause moves nobody."""
-        first = int(self.place * len(ring))
+        first = int(self.ring_position * len(ring))
         return ring[first:] + ring[:first]
 
     def _sort_in(self, target, now):
@@ -103,11 +105,11 @@
         else:
             self._far.append(target)
 
-    def is_out_to(self, target: TargetState, time: float) -> bool:
+    def is_out_until(self, target: TargetState, time: float) -> bool:
         """Tell whether a target takes no request before a time, as is known now."""
         return any(_REASONS[reason](target, self) > time for reason in _LASTING)
 
-    def reason_against(self, target: TargetState, now: float) -> str | None:
+    def out_of_use_reason(self, target: TargetState, now: float) -> str | None:
         """Give the first reason for which a target is out of use; None if it is not."""
         reasons = (r for r, until in _REASONS.items() if until(target, self) > now)
         return next(reasons, None)
@@ -128,7 +130,7 @@
 
 
 def _resting_until(target, _usable):
-    return target.resting_until
+    return target.back_off_until
 
 
 def _ejected_until(target, _usable):
@@ -145,12 +147,12 @@
 _REASONS: dict[Reason, Callable[[TargetState, UsableTargets], float]] = {
     Reason.DRAINING: _draining_until,
     Reason.EVACUATED: _evacuated_until,
-    Reason.RESTING: _resting_until,
+    Reason.BACKING_OFF: _resting_until,
     Reason.EJECTED: _ejected_until,
     Reason.PAUSED: _paused_until,
 }
 # Reasons whose end is not waited for, unless it is known to come in time.
-_LASTING = (Reason.DRAINING, Reason.EVACUATED, Reason.RESTING)
+_LASTING = (Reason.DRAINING, Reason.EVACUATED, Reason.BACKING_OFF)
 
 
 def _on_ring(target):
--- a/packages/records/src/cairnferry/records/_model.py
+++ b/packages/records/src/cairnferry/records/_model.py
@@ -227,13 +227,13 @@
     max_attempts: int | None = None
     objective_ms: int | None = None
     rank: int = 0
-    limit_ms: int | None = None
+    max_deadline_ms: int | None = None
 
     def service_names(self) -> list[str]:
         """List the services that may get its requests."""
         return [backend.service for backend in self.backends] or [self.service]
 
-    def allows_repeats(self, method: str) -> bool:
+    def may_resend(self, method: str) -> bool:
         """Tell whether a request with this method may be sent more than once."""
         if self.idempotent is not None:
             return self.idempotent
--- a/packages/settings/src/cairnferry/settings/__init__.py
+++ b/packages/settings/src/cairnferry/settings/__init__.py
@@ -1,16 +1,16 @@
 """INI settings, checked against a table of keys, all faults told at once."""
 
 from cairnferry.settings._faults import SettingFault
-from cairnferry.settings._keys import Address, Key, Sort, parse_address
-from cairnferry.settings._reader import Settings, describe, read_settings
+from cairnferry.settings._keys import Address, Key, ValueType, parse_address
+from cairnferry.settings._reader import Settings, format_key_table, read_settings
 
 __all__ = [
     "Address",
     "Key",
     "SettingFault",
     "Settings",
-    "Sort",
-    "describe",
+    "ValueType",
+    "format_key_table",
     "parse_address",
     "read_settings",
 ]
--- a/packages/settings/src/cairnferry/settings/_keys.py
+++ b/packages/settings/src/cairnferry/settings/_keys.py
@@ -11,7 +11,7 @@
 _BOOLEANS = {"yes": True, "no": False}
 
 
-class Sort(enum.StrEnum):
+class ValueType(enum.StrEnum):
     """Sort of a value."""
 
     NAME = "name"
@@ -46,7 +46,7 @@
     ----------
     section, name : str
         Where it stands in the file.
-    sort : Sort
+    sort : ValueType
         Sort of its value.
     help : str
         One line for the table of keys.
@@ -64,7 +64,7 @@
 
     section: str
     name: str
-    sort: Sort
+    sort: ValueType
     help: str
     default: object = None
     unit: str = "-"
@@ -157,21 +157,21 @@
 
 
 _PARSERS = {
-    Sort.NAME: _parse_name,
-    Sort.ADDRESS: parse_address,
-    Sort.ADDRESSES: _parse_addresses,
-    Sort.INTEGER: int,
-    Sort.NUMBER: _parse_number,
-    Sort.BOOLEAN: _parse_boolean,
-    Sort.PATH: _parse_path,
+    ValueType.NAME: _parse_name,
+    ValueType.ADDRESS: parse_address,
+    ValueType.ADDRESSES: _parse_addresses,
+    ValueType.INTEGER: int,
+    ValueType.NUMBER: _parse_number,
+    ValueType.BOOLEAN: _parse_boolean,
+    ValueType.PATH: _parse_path,
 }
 
 _SORT_WORDS = {
-    Sort.NAME: "a name of lower-case letters, digits, '.' and '-'",
-    Sort.ADDRESS: "IP:port",
-    Sort.ADDRESSES: "a list of IP:port, separated by commas",
-    Sort.INTEGER: "a whole number",
-    Sort.NUMBER: "a number",
-    Sort.BOOLEAN: "yes or no",
-    Sort.PATH: "a path",
+    ValueType.NAME: "a name of lower-case letters, digits, '.' and '-'",
+    ValueType.ADDRESS: "IP:port",
+    ValueType.ADDRESSES: "a list of IP:port, separated by commas",
+    ValueType.INTEGER: "a whole number",
+    ValueType.NUMBER: "a number",
+    ValueType.BOOLEAN: "yes or no",
+    ValueType.PATH: "a path",
 }
--- a/packages/settings/src/cairnferry/settings/_reader.py
+++ b/packages/settings/src/cairnferry/settings/_reader.py
@@ -92,7 +92,7 @@
         return key.default
 
 
-def describe(keys: tuple[Key, ...]) -> str:
+def format_key_table(keys: tuple[Key, ...]) -> str:
     """Give the table of keys in Markdown, for the pages and `--help`."""
     lines = [
         "| section | key | value | unit | default | range | meaning |",
--- a/packages/standins/src/cairnferry/standins/command.py
+++ b/packages/standins/src/cairnferry/standins/command.py
@@ -16,7 +16,7 @@
 from gevent.event import Event  # noqa: E402
 from gevent.pool import Group  # noqa: E402
 
-from cairnferry.settings import Key, Sort, describe, read_settings  # noqa: E402
+from cairnferry.settings import Key, ValueType, format_key_table, read_settings  # noqa: E402
 from cairnferry.standins._load import LoadPlan, parse_operations, run_load  # noqa: E402
 from cairnferry.standins._platform import PlatformStandin  # noqa: E402
 from cairnferry.standins._target import TargetBehaviour, TargetStandin  # noqa: E402
@@ -25,36 +25,51 @@
 LEAVE_S = 10.0
 US_PER_MS = 1000
 
-PLATFORM_KEYS = (Key("platform", "listen", Sort.ADDRESS, "where to listen"),)
+PLATFORM_KEYS = (Key("platform", "listen", ValueType.ADDRESS, "where to listen"),)
 
 TARGET_KEYS = (
-    Key("target", "listen", Sort.ADDRESSES, "where to listen, one target each"),
-    Key("target", "name", Sort.NAME, "name in answers", default="target"),
-    Key("target", "slots", Sort.INTEGER, "requests at once", 6, "-", 1, 10000),
-    Key("target", "service_ms", Sort.NUMBER, "service time", 5.0, "ms", 0, 60000),
-    Key("target", "max_queue", Sort.INTEGER, "waiting requests", 1000, "-", 0, 1e6),
-    Key("target", "cold_s", Sort.NUMBER, "cold start", 0.0, "s", 0, 600),
-    Key("target", "cold_factor", Sort.NUMBER, "factor while cold", 1.0, "-", 1, 1000),
-    Key("target", "notice_s", Sort.NUMBER, "serves on when told to leave", 3.0, "s"),
-    Key("target", "journal", Sort.PATH, "file for each request", optional=True),
-    Key("target", "seed", Sort.INTEGER, "seed", 1, "-", 0, 2**31),
+    Key("target", "listen", ValueType.ADDRESSES, "where to listen, one target each"),
+    Key("target", "name", ValueType.NAME, "name in answers", default="target"),
+    Key("target", "slots", ValueType.INTEGER, "requests at once", 6, "-", 1, 10000),
+    Key("target", "service_ms", ValueType.NUMBER, "service time", 5.0, "ms", 0, 60000),
+    Key(
+        "target", "max_queue", ValueType.INTEGER, "waiting requests", 1000, "-", 0, 1e6
+    ),
+    Key("target", "cold_s", ValueType.NUMBER, "cold start", 0.0, "s", 0, 600),
+    Key(
+        "target",
+        "cold_factor",
+        ValueType.NUMBER,
+        "factor while cold",
+        1.0,
+        "-",
+        1,
+        1000,
+    ),
+    Key(
+        "target", "notice_s", ValueType.NUMBER, "serves on when told to leave", 3.0, "s"
+    ),
+    Key("target", "journal", ValueType.PATH, "file for each request", optional=True),
+    Key("target", "seed", ValueType.INTEGER, "seed", 1, "-", 0, 2**31),
 )
 
 LOAD_KEYS = (
-    Key("load", "entries", Sort.ADDRESSES, "daemons to ask for addresses"),
-    Key("load", "service", Sort.NAME, "service to ask for"),
-    Key("load", "operations", Sort.PATH, "such as 'GET /a 9, POST /b 1'"),
-    Key("load", "rate", Sort.NUMBER, "requests", 100.0, "1/s", 0.1, 100000),
-    Key("load", "seconds", Sort.NUMBER, "length", 10.0, "s", 0.1, 3600),
-    Key("load", "timeout_ms", Sort.INTEGER, "deadline", 1000, "ms", 1, 600000),
-    Key("load", "zone", Sort.NAME, "zone of the callers", optional=True),
-    Key("load", "seed", Sort.INTEGER, "seed", 1, "-", 0, 2**31),
-    Key("load", "prefix", Sort.NAME, "prefix of request IDs", default="r"),
-    Key("load", "steer", Sort.BOOLEAN, "whether to ask for addresses", default=True),
-    Key("load", "ahead", Sort.INTEGER, "GETs sent at once", 1, "requests", 1, 100),
-    Key("load", "outcomes", Sort.PATH, "file for each outcome", optional=True),
-    Key("load", "report", Sort.PATH, "file for the hdrhistogram", optional=True),
-    Key("load", "timeline", Sort.PATH, "file for each latency", optional=True),
+    Key("load", "entries", ValueType.ADDRESSES, "daemons to ask for addresses"),
+    Key("load", "service", ValueType.NAME, "service to ask for"),
+    Key("load", "operations", ValueType.PATH, "such as 'GET /a 9, POST /b 1'"),
+    Key("load", "rate", ValueType.NUMBER, "requests", 100.0, "1/s", 0.1, 100000),
+    Key("load", "seconds", ValueType.NUMBER, "length", 10.0, "s", 0.1, 3600),
+    Key("load", "timeout_ms", ValueType.INTEGER, "deadline", 1000, "ms", 1, 600000),
+    Key("load", "zone", ValueType.NAME, "zone of the callers", optional=True),
+    Key("load", "seed", ValueType.INTEGER, "seed", 1, "-", 0, 2**31),
+    Key("load", "prefix", ValueType.NAME, "prefix of request IDs", default="r"),
+    Key(
+        "load", "steer", ValueType.BOOLEAN, "whether to ask for addresses", default=True
+    ),
+    Key("load", "ahead", ValueType.INTEGER, "GETs sent at once", 1, "requests", 1, 100),
+    Key("load", "outcomes", ValueType.PATH, "file for each outcome", optional=True),
+    Key("load", "report", ValueType.PATH, "file for the hdrhistogram", optional=True),
+    Key("load", "timeline", ValueType.PATH, "file for each latency", optional=True),
 )
 
 _Config = typing.Annotated[
@@ -118,7 +133,7 @@
     if cfg.is_error():
         for fault in cfg.error:
             print(f"cairnferry-standin: {fault}", file=sys.stderr)
-        print(describe(keys), file=sys.stderr)
+        print(format_key_table(keys), file=sys.stderr)
         sys.exit(EXIT_SETTINGS)
     return cfg.ok
 
--- a/packages/wire/src/cairnferry/wire/__init__.py
+++ b/packages/wire/src/cairnferry/wire/__init__.py
@@ -7,13 +7,13 @@
 from cairnferry.wire._connection import ConnectFailed, Connection, connect
 from cairnferry.wire._exchange import (
     BODILESS_STATUSES,
-    AnswerRules,
     Failure,
     Incomplete,
     NotSent,
     Outcome,
     Reply,
-    describe,
+    ResponseRules,
+    describe_outcome,
     exchange,
     find_header,
 )
@@ -24,7 +24,7 @@
 
 __all__ = [
     "BODILESS_STATUSES",
-    "AnswerRules",
+    "ResponseRules",
     "Client",
     "ConnectFailed",
     "Connection",
@@ -36,7 +36,7 @@
     "Outcome",
     "Reply",
     "connect",
-    "describe",
+    "describe_outcome",
     "encode_request",
     "exchange",
     "find_header",
--- a/packages/wire/src/cairnferry/wire/_exchange.py
+++ b/packages/wire/src/cairnferry/wire/_exchange.py
@@ -76,7 +76,7 @@
 
 
 @attrs.frozen
-class AnswerRules:
+class ResponseRules:
     """What counts as the whole answer to a request.
 
     The defaults are the strictest ones. The others may be chosen only where
@@ -100,10 +100,10 @@
     ignore_overrun: bool = False
 
 
-STRICT = AnswerRules()
+STRICT = ResponseRules()
 
 
-def describe(outcome: Outcome) -> str:
+def describe_outcome(outcome: Outcome) -> str:
     """Say in a few words how an exchange ended, for messages and logs."""
     match outcome:
         case Reply(status=status):
@@ -160,7 +160,7 @@
     payload: bytes,
     deadline: float,
     max_body: int,
-    rules: AnswerRules = STRICT,
+    rules: ResponseRules = STRICT,
 ) -> Outcome:
     """Send a request and read its whole answer.
 
@@ -176,7 +176,7 @@
         Monotonic time in seconds.
     max_body : int
         Longest body taken, in bytes.
-    rules : AnswerRules, optional
+    rules : ResponseRules, optional
         What counts as a whole answer.
 
     Returns
--- a/packages/wire/src/cairnferry/wire/_pool.py
+++ b/packages/wire/src/cairnferry/wire/_pool.py
@@ -39,11 +39,11 @@
     max_idle_s: float = 30.0
     trusted_idle_s: float = 1.0
     opened: int = 0
-    lost: int = 0
+    stale: int = 0
     _idle: deque = attrs.field(factory=deque, init=False)
     _closed: bool = attrs.field(default=False, init=False)
 
-    def take(self, idempotent: bool, timeout: float) -> Connection | ConnectFailed:
+    def acquire(self, idempotent: bool, timeout: float) -> Connection | ConnectFailed:
         """Give an idle connection that looks alive, or open one.
 
         Notes
@@ -59,7 +59,7 @@
             limit = min(self.max_idle_s, conn.idle_limit - CLOSE_MARGIN_S)
             if age > limit or not conn.is_quiet():
                 conn.close()
-                self.lost += 1
+                self.stale += 1
                 continue
             if idempotent or age <= self.trusted_idle_s:
                 return conn
@@ -74,7 +74,7 @@
         self.opened += 1
         return connect(self.address, timeout)
 
-    def give(self, conn: Connection) -> None:
+    def release(self, conn: Connection) -> None:
         """Take back a connection after a whole exchange."""
         if self._closed or len(self._idle) >= self.max_idle:
             conn.close()
--- a/packages/wire/src/cairnferry/wire/_simple.py
+++ b/packages/wire/src/cairnferry/wire/_simple.py
@@ -61,13 +61,13 @@
         """
         deadline = time.monotonic() + timeout
         payload = encode_request(method, path, self.authority, headers, body)
-        conn = self._pool.take(idempotent, timeout)
+        conn = self._pool.acquire(idempotent, timeout)
         if isinstance(conn, ConnectFailed):
             return NotSent(Failure.CONNECT)
         watch_liveness(conn.sock)
         outcome = exchange(conn, method, payload, deadline, self.max_body)
         if isinstance(outcome, Reply) and conn.is_open:
-            self._pool.give(conn)
+            self._pool.release(conn)
         return outcome
 
     def close(self) -> None:
--- a/tests/adapter/conftest.py
+++ b/tests/adapter/conftest.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from cairnferry.entry.targets import _asking
+from cairnferry.entry.targets import _status_checks
 from cairnferry.policy import Call
 from cairnferry.standins import free_port, wait_for
 from cairnferry.wire import Client
@@ -60,7 +60,7 @@
 @pytest.fixture(autouse=True)
 def patient_checks(monkeypatch):
     """Let a round of checks end by its answers, not by time."""
-    monkeypatch.setattr(_asking, "ROUND_S", 10.0)
+    monkeypatch.setattr(_status_checks, "ANSWER_WAIT_S", 10.0)
 
 
 @pytest.fixture
--- a/tests/adapter/test_documents.py
+++ b/tests/adapter/test_documents.py
@@ -136,9 +136,13 @@
     first, second = decoded.routes
     assert decoded.revision == 12
     assert (first.host, first.path_prefix) == ("shop.example", "/a/")
-    assert not first.allows_repeats("GET")
-    assert (first.max_attempts, first.limit_ms, first.objective_ms) == (3, 5000, 300)
-    assert second.allows_repeats("POST")
+    assert not first.may_resend("GET")
+    assert (first.max_attempts, first.max_deadline_ms, first.objective_ms) == (
+        3,
+        5000,
+        300,
+    )
+    assert second.may_resend("POST")
     assert second.backends == (Backend("svc", 90), Backend("two", 10))
     assert [service.name for service in decoded.services] == ["svc", "two"]
     assert decoded.services[0].health_path == "/health"
--- a/tests/adapter/test_eras.py
+++ b/tests/adapter/test_eras.py
@@ -12,7 +12,7 @@
 
 from cairnferry.coordination import era_of, version_of
 from cairnferry.entry._ports import FeedUnavailable, HistoryLost
-from cairnferry.policy import EVERYBODY, Block, BlockRef
+from cairnferry.policy import ALL_CALLERS, Block, BlockRef
 from cairnferry.standins import wait_for
 from hosting._registry import KEY_ROW, TABLE
 from hosting._store import Conflict, RowRef, Store
@@ -142,7 +142,7 @@
 
 def test_the_daemons_key_and_rows_are_written_again(store, start_daemon, monkeypatch):
     """Symptom: daemons that start after the drill make a key of their own."""
-    monkeypatch.setattr("cairnferry.entry.members._enrolment.KEEP_S", 0.2)
+    monkeypatch.setattr("cairnferry.entry.members._enrolment.MAINTENANCE_S", 0.2)
     monkeypatch.setattr("cairnferry.entry.members._enrolment.ROW_MISSING_S", 0.5)
     store.put("op", "config", configuration())
     copy = store.copy()
@@ -163,15 +163,15 @@
 
     Its row is gone as if an operator had removed it.
     """
-    monkeypatch.setattr("cairnferry.entry.callers._guard.KEEP_S", 0.2)
+    monkeypatch.setattr("cairnferry.entry.callers._guard.ROW_SYNC_S", 0.2)
     store.put("op", "config", configuration())
     daemon = start_daemon("front-1")
     wait_for(lambda: daemon.core.cluster.listed)
     copy = store.copy()
     now = time.monotonic()
-    ref, block = BlockRef("c0ffee", EVERYBODY), Block(now, now - 1.0)
+    ref, block = BlockRef("c0ffee", ALL_CALLERS), Block(now, now - 1.0)
     guard = daemon.core.guard
-    guard.quarantine.take_block(ref.content, ref.scope, block)
+    guard.quarantine.apply_block(ref.content, ref.scope, block)
 
     def stored():
         rows = store.rows[TABLE].items()
--- a/tests/adapter/test_lines.py
+++ b/tests/adapter/test_lines.py
@@ -95,7 +95,7 @@
     start_target()
     knows(daemon, "i-1")
     daemon.call()
-    page = daemon.core.shown.metrics_page("/metrics").body.decode()
+    page = daemon.core.state_view.metrics_page("/metrics").body.decode()
     assert 'cairnferry_requests_total{service="svc",repeats="allowed"' in page
     assert 'cairnferry_store_calls_total{kind="rules-list",result="rows"} 1' in page
     assert "cairnferry_revision 3" in page.splitlines()
--- a/tests/adapter/test_news.py
+++ b/tests/adapter/test_news.py
@@ -6,10 +6,10 @@
 import pytest
 from gevent.event import Event
 
-from cairnferry.coordination import NO_NEWS
+from cairnferry.coordination import NO_DOCUMENT_NEWS
 from cairnferry.entry.following import _followed
 from cairnferry.entry.following._handover import Handover
-from cairnferry.entry.following._rules_exchange import MAX_ASKED_AGAIN
+from cairnferry.entry.following._rules_exchange import MAX_BUSY_RETRIES
 from cairnferry.standins import wait_for
 
 from ._standins import configuration, rule, target_row
@@ -234,7 +234,7 @@
 
         def document_since(self, revision):
             asked.append(revision)
-            return NO_NEWS
+            return NO_DOCUMENT_NEWS
 
     def at_once(pause, function, *args):
         function(*args)
@@ -242,4 +242,4 @@
     monkeypatch.setattr(_followed.gevent, "spawn_later", at_once)
     records = daemon.core.cluster.configuration
     records.pull_from(Link(), offered=records.revision + 1)
-    assert len(asked) == 1 + MAX_ASKED_AGAIN
+    assert len(asked) == 1 + MAX_BUSY_RETRIES
--- a/tests/adapter/test_retry_budgets.py
+++ b/tests/adapter/test_retry_budgets.py
@@ -74,7 +74,7 @@
     store, start_daemon, monkeypatch
 ):
     """Guards against the slack of all at one that has just heard of the others."""
-    monkeypatch.setattr(_core, "SHARE_OUT_S", 3600.0)
+    monkeypatch.setattr(_core, "SHARE_UPDATE_S", 3600.0)
     first, second = (start_daemon(name, wait=False) for name in ("front-1", "front-2"))
     for daemon in (first, second):
         wait_for(lambda each=daemon: len(each.core.cluster.listed) == 2)
--- a/tests/adapter/test_watching.py
+++ b/tests/adapter/test_watching.py
@@ -7,7 +7,7 @@
 
 from cairnferry.entry.adapter import FeedUnavailable
 from cairnferry.entry.following import _followed, _following
-from cairnferry.entry.members import _duty
+from cairnferry.entry.members import _watcher_role
 from cairnferry.standins import wait_for
 from hosting._store import TableFeed
 
@@ -17,11 +17,11 @@
 @pytest.fixture(autouse=True)
 def prompt(monkeypatch):
     """Make pauses short; let one daemon watch, as where there are several zones."""
-    monkeypatch.setattr(_duty, "WATCHERS", 1)
-    monkeypatch.setattr(_duty, "LOOK_S", 0.0)
-    monkeypatch.setattr(_duty, "SETTLE_S", math.inf)
+    monkeypatch.setattr(_watcher_role, "WATCHERS", 1)
+    monkeypatch.setattr(_watcher_role, "CHECK_S", 0.0)
+    monkeypatch.setattr(_watcher_role, "SETTLE_S", math.inf)
     monkeypatch.setattr(_followed, "TARGETS_COALESCE_S", 0.001)
-    monkeypatch.setattr(_following, "DUTY_LOOK_S", 0.01)
+    monkeypatch.setattr(_following, "ROLE_CHECK_S", 0.01)
 
 
 @pytest.fixture
@@ -37,15 +37,15 @@
     for daemon in everyone:
         wait_for(lambda d=daemon: len(d.core.cluster.membership.live()) == 5)
         wait_for(lambda d=daemon: len(d.core.cluster.listed) == 5)
-        wait_for(lambda d=daemon: d.core.duty.is_ready)
+        wait_for(lambda d=daemon: d.core.watcher_role.is_ready)
     # Now that they have met, whatever time that took.
-    monkeypatch.setattr(_duty, "SETTLE_S", 0.0)
+    monkeypatch.setattr(_watcher_role, "SETTLE_S", 0.0)
     assert len(watching(everyone)) == 1
     return everyone
 
 
 def watching(daemons):
-    return [daemon for daemon in daemons if daemon.core.duty.is_mine()]
+    return [daemon for daemon in daemons if daemon.core.watcher_role.is_active()]
 
 
 def all_know(daemons, *names):
--- a/tests/bench/test_limits.py
+++ b/tests/bench/test_limits.py
@@ -49,7 +49,7 @@
             daemon
             for daemon in fleet.up()
             if daemon.zone == record.zone
-            and daemon.permits.givers.is_me(record.identity, record.zone)
+            and daemon.permits.givers.is_issuer(record.identity, record.zone)
         ]
 
 
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -14,10 +14,10 @@
 
 from cairnferry.entry.callers._callers import BodyLimits, CallersApp  # noqa: E402
 from cairnferry.entry.callers._forward import Forwarder  # noqa: E402
-from cairnferry.entry.callers._guard import Guard  # noqa: E402
+from cairnferry.entry.callers._guard import CrashGuard  # noqa: E402
 from cairnferry.entry.http._http_server import Limits  # noqa: E402
 from cairnferry.entry.http._pipelined_server import PipelinedServer  # noqa: E402
-from cairnferry.entry.targets._endings import Endings  # noqa: E402
+from cairnferry.entry.targets._crash_detector import CrashDetector  # noqa: E402
 from cairnferry.entry.targets._services import Services  # noqa: E402
 from cairnferry.entry.targets._upstreams import Upstreams  # noqa: E402
 from cairnferry.entry.telemetry._metrics import Metrics  # noqa: E402
@@ -173,15 +173,17 @@
         self.services = Services("z", random.Random(5), lambda policy: None)
         self.upstreams = Upstreams(1.0, 1024 * 1024)
         self.metrics = Metrics()
-        self.guard = Guard(self.metrics)
-        endings = Endings(self.upstreams, self.metrics, self.guard.note_end)
+        self.guard = CrashGuard(self.metrics)
+        crash_detector = CrashDetector(
+            self.upstreams, self.metrics, self.guard.note_crash
+        )
         edits = tuple(Put(document, 0) for document in documents)
         if edits:
             records = RecordSet().apply(1, (Change("c", edits),)).ok
             self.services.install(records)
         app = CallersApp(
             self.services,
-            Forwarder(self.upstreams, None, endings, self.guard),
+            Forwarder(self.upstreams, None, crash_detector, self.guard),
             None,
             self.metrics,
             BodyLimits(max_body, body_s),
--- a/tests/coordination/test_changelog.py
+++ b/tests/coordination/test_changelog.py
@@ -13,7 +13,7 @@
     HeadMoved,
     LogTooLarge,
     OutcomeUnknown,
-    Pending,
+    PendingChange,
     TableUnavailable,
     WriteUnknown,
 )
@@ -150,7 +150,7 @@
     def commit(self, *changes):
         self.group.commit(
             [
-                Pending(
+                PendingChange(
                     document, lambda r, i=i: self.outcomes.setdefault(i, []).append(r)
                 )
                 for i, document in enumerate(changes)
--- a/tests/coordination/test_documents.py
+++ b/tests/coordination/test_documents.py
@@ -8,7 +8,7 @@
 from hypothesis import strategies as st
 
 from cairnferry.coordination import (
-    NO_NEWS,
+    NO_DOCUMENT_NEWS,
     DocumentFault,
     DocumentHistory,
     DocumentNews,
@@ -59,7 +59,7 @@
         news = history.news_since(base)
         assert (news.revision, news.base) == (9, expected)
         assert history.read(news) == newest
-    assert history.news_since(9) == history.news_since(12) == NO_NEWS
+    assert history.news_since(9) == history.news_since(12) == NO_DOCUMENT_NEWS
 
 
 def test_old_versions_are_dropped():
--- a/tests/coordination/test_eras.py
+++ b/tests/coordination/test_eras.py
@@ -9,7 +9,7 @@
     MAX_ERA,
     Batch,
     Row,
-    TableCopy,
+    TableReplica,
     era_of,
     stamp,
     version_of,
@@ -73,9 +73,9 @@
 def follow(copy, store):
     changes = store.changes(copy.version) if copy.version else None
     if changes is None:
-        copy.take_listing(store.listing())
+        copy.apply_listing(store.listing())
     else:
-        copy.take_changes(changes)
+        copy.apply_changes(changes)
 
 
 STEPS = st.lists(
@@ -96,7 +96,7 @@
 def test_all_copies_come_to_hold_what_the_store_holds(steps):
     """Writes, drills, cuts (nobody follows), news and restarts in any order."""
     store = Store()
-    copies = [TableCopy() for _ in range(4)]
+    copies = [TableReplica() for _ in range(4)]
     for kind, first, second in steps:
         before = [copy.version for copy in copies]
         match kind:
@@ -113,15 +113,15 @@
             case "tell":
                 told = copies[second]
                 news = told.news_since(copies[first].version)
-                copies[first].take_news(news)
+                copies[first].apply_update(news)
             case "restart":
-                copies[first] = TableCopy()
+                copies[first] = TableReplica()
                 before[first] = 0
         for copy, version in zip(copies, before, strict=True):
             assert copy.version >= version
     store.write("last", b"1")
     follow(copies[0], store)
     for copy in copies[1:]:
-        copy.take_news(copies[0].news_since(copy.version))
+        copy.apply_update(copies[0].news_since(copy.version))
     for copy in copies:
         assert {key: row.value for key, row in copy.rows.items()} == store.holds()
--- a/tests/coordination/test_membership.py
+++ b/tests/coordination/test_membership.py
@@ -13,12 +13,12 @@
     MembershipTimes,
     MemberState,
     Note,
-    NoteBoard,
+    NoteRegistry,
     TokenBucket,
     lowest_ranked,
 )
 
-TIMES = MembershipTimes(suspicion=4, memory=100)
+TIMES = MembershipTimes(suspicion=4, retention=100)
 
 
 def member(name="b", incarnation=1, state=MemberState.ALIVE):
@@ -68,11 +68,11 @@
     mine = membership("a", member("b"))
     mine.suspect("b", 10)
     assert [m.name for m in mine.live()] == ["a"]
-    mine.pass_time(13.9)
+    mine.apply_timeouts(13.9)
     assert mine.get("b").state is MemberState.SUSPECTED
-    mine.pass_time(14)
+    mine.apply_timeouts(14)
     assert mine.get("b").state is MemberState.GONE
-    mine.pass_time(114)
+    mine.apply_timeouts(114)
     assert mine.get("b") is None
 
 
@@ -84,7 +84,7 @@
     """
     mine = membership("a", member("b"))
     mine.suspect("b", 0)
-    mine.pass_time(4)
+    mine.apply_timeouts(4)
     woken = membership("b", member("a"))
     assert not mine.merge(woken.me, 5)
     woken.merge(mine.get("b"), 5)
@@ -100,7 +100,7 @@
     """
     mine = membership("a", member("b"))
     mine.suspect("b", 0)
-    mine.pass_time(4)
+    mine.apply_timeouts(4)
     while mine.news():
         pass
     back = membership("b", member("a"))
@@ -181,19 +181,19 @@
 
 def test_notes_extend_and_lapse():
     heard = []
-    board = NoteBoard(lambda *note: heard.append(note))
+    board = NoteRegistry(lambda *note: heard.append(note))
     assert board.post(Note("t", "health", 5), 0, 10)
     assert not board.post(Note("t", "health", 4), 0, 10)
     assert not board.post(Note("t", "health", 5), 1, 10)
     assert heard == [("t", "health", 5), ("t", "health", 6)]
-    assert board.to_tell(2) == (Note("t", "health", 4),)
-    assert board.in_force(6.1) == []
-    board.drop_lapsed(6.1)
-    assert board.to_tell(6.1) == ()
+    assert board.next_notes(2) == (Note("t", "health", 4),)
+    assert board.active_notes(6.1) == []
+    board.drop_expired(6.1)
+    assert board.next_notes(6.1) == ()
 
 
 def test_a_note_cannot_hold_for_ever():
     heard = []
-    board = NoteBoard(lambda *note: heard.append(note[2]))
+    board = NoteRegistry(lambda *note: heard.append(note[2]))
     board.post(Note("t", "health", 1e9), 0, 1)
     assert heard == [60]
--- a/tests/coordination/test_tablecopy.py
+++ b/tests/coordination/test_tablecopy.py
@@ -3,7 +3,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from cairnferry.coordination import Batch, News, Row, TableCopy, _tablecopy
+from cairnferry.coordination import Batch, Row, TableReplica, TableUpdate, _tablecopy
 
 KEYS = "abc"
 
@@ -63,9 +63,9 @@
         case "change", key, is_removal:
             store.change(key, is_removal)
         case "list", index:
-            copies[index].take_listing(store.listing())
+            copies[index].apply_listing(store.listing())
         case "watch", index:
-            copies[index].take_changes(store.since(copies[index].version))
+            copies[index].apply_changes(store.since(copies[index].version))
         case "ask", index, other:
             # The answer may come late, after others.
             under_way.append(
@@ -73,13 +73,13 @@
             )
         case ("answer",) if under_way:
             copy, news = under_way.pop()
-            copy.take_news(news)
+            copy.apply_update(news)
 
 
 @settings(max_examples=300, derandomize=True, deadline=None)
 @given(STEPS)
 def test_each_copy_holds_what_the_table_held_at_its_version_and_none_goes_back(steps):
-    store, copies, under_way = Store(), [TableCopy() for _ in range(3)], []
+    store, copies, under_way = Store(), [TableReplica() for _ in range(3)], []
     for step in steps:
         before = [copy.version for copy in copies]
         play(store, copies, step, under_way)
@@ -91,21 +91,21 @@
 @settings(max_examples=100, derandomize=True, deadline=None)
 @given(STEPS)
 def test_the_newest_copy_brings_all_others_up_to_date(steps):
-    store, copies, under_way = Store(), [TableCopy() for _ in range(3)], []
+    store, copies, under_way = Store(), [TableReplica() for _ in range(3)], []
     for step in steps:
         play(store, copies, step, under_way)
     newest = max(copies, key=lambda copy: copy.version)
     for copy in copies:
-        copy.take_news(newest.news_since(copy.version))
+        copy.apply_update(newest.news_since(copy.version))
         assert (copy.version, copy.rows) == (newest.version, newest.rows)
 
 
 def test_a_change_alone_is_told_and_not_the_whole_table():
-    first, second = TableCopy(), TableCopy()
-    first.take_listing(Batch(tuple(put(key, 1) for key in KEYS), 5))
-    second.take_news(first.news_since(0))
-    first.take_changes(Batch((put("a", 7), removed("b", 8)), 9))
-    assert first.news_since(second.version) == News(
+    first, second = TableReplica(), TableReplica()
+    first.apply_listing(Batch(tuple(put(key, 1) for key in KEYS), 5))
+    second.apply_update(first.news_since(0))
+    first.apply_changes(Batch((put("a", 7), removed("b", 8)), 9))
+    assert first.news_since(second.version) == TableUpdate(
         False, (put("a", 7), removed("b", 8)), 8
     )
 
@@ -115,9 +115,9 @@
 
     Cause: the version of the store counts the changes of all tables.
     """
-    copy = TableCopy()
-    copy.take_listing(Batch((put("a", 3),), 5))
-    assert not copy.take_changes(Batch((), 900))
+    copy = TableReplica()
+    copy.apply_listing(Batch((put("a", 3),), 5))
+    assert not copy.apply_changes(Batch((), 900))
     assert copy.version == 5
 
 
@@ -128,17 +128,17 @@
     forgotten some of the removals, and told it the rest.
     """
     monkeypatch.setattr(_tablecopy, "MAX_REMOVALS", 2)
-    copy, cut_off = TableCopy(), TableCopy()
-    copy.take_listing(Batch(tuple(put(key, 1) for key in KEYS), 5))
-    cut_off.take_news(copy.news_since(0))
-    copy.take_changes(Batch(tuple(removed(k, 6 + i) for i, k in enumerate(KEYS)), 9))
+    copy, cut_off = TableReplica(), TableReplica()
+    copy.apply_listing(Batch(tuple(put(key, 1) for key in KEYS), 5))
+    cut_off.apply_update(copy.news_since(0))
+    copy.apply_changes(Batch(tuple(removed(k, 6 + i) for i, k in enumerate(KEYS)), 9))
     assert copy.news_since(cut_off.version).whole
-    cut_off.take_news(copy.news_since(cut_off.version))
+    cut_off.apply_update(copy.news_since(cut_off.version))
     assert cut_off.rows == {}
 
 
 def test_a_listing_that_took_long_does_not_replace_what_a_peer_told_meanwhile():
-    copy = TableCopy()
-    copy.take_news(News(True, (put("a", 9),), 9))
-    assert not copy.take_listing(Batch((put("a", 3),), 8))
+    copy = TableReplica()
+    copy.apply_update(TableUpdate(True, (put("a", 9),), 9))
+    assert not copy.apply_listing(Batch((put("a", 3),), 8))
     assert copy.rows == {"a": put("a", 9)}
--- a/tests/entry/callers/test_guard.py
+++ b/tests/entry/callers/test_guard.py
@@ -7,17 +7,17 @@
 import pytest
 from gevent.event import Event
 
-from cairnferry.entry.callers import suspicion_board
-from cairnferry.entry.callers._suspicions import (
+from cairnferry.entry.callers import quarantine_board
+from cairnferry.entry.callers._quarantine_notes import (
     BlockTold,
     note_of,
 )
 from cairnferry.policy import (
-    EVERYBODY,
+    ALL_CALLERS,
     Block,
     BlockRef,
-    End,
     RequestIdentity,
+    TargetCrash,
 )
 from cairnferry.standins import wait_for
 
@@ -113,8 +113,8 @@
     entry = start_entry(*records)
     for target in entry.policy()._targets:
         attempt = _Attempt(target)
-        endings = entry.server.application.forwarder.endings
-        assert endings.note_break(attempt, None, "1", "s") is None
+        crash_detector = entry.server.application.forwarder.crash_detector
+        assert crash_detector.note_break(attempt, None, "1", "s") is None
     assert len(entry.guard.quarantine) == 0
 
 
@@ -178,9 +178,9 @@
     wait_for(lambda: entry.policy().waiting)
     identity = RequestIdentity("POST", "", POISON, b"x", "127.0.0.1")
     now = time.monotonic()
-    block = BlockTold(BlockRef(identity.content, EVERYBODY), Block(now, now - 1))
+    block = BlockTold(BlockRef(identity.content, ALL_CALLERS), Block(now, now - 1))
     note = note_of(block, now)
-    suspicion_board(entry.guard.hear).post(note, now, 3)
+    quarantine_board(entry.guard.receive).post(note, now, 3)
     gevent.joinall([first, second, waiting])
     assert cause(waiting.value) == "ends-targets"
     assert waiting.value.header("cairnferry-outcome") == "not-run"
@@ -199,16 +199,18 @@
     entry = start_entry(*records_for(target))
     identity = RequestIdentity("GET", "", POISON, b"", "127.0.0.1")
     now = time.monotonic()
-    end = End("i-0", identity.caller_tag, now - 1, now)
-    entry.guard.quarantine.note_end(identity.content, end, now)
+    end = TargetCrash("i-0", identity.caller_tag, now - 1, now)
+    entry.guard.quarantine.note_crash(identity.content, end, now)
     looks = []
 
     def look_for_ever(*args):
         looks.append(Event())
         return looks[0]
 
-    endings = entry.server.application.forwarder.endings
-    monkeypatch.setattr(type(endings), "note_break", lambda *args: look_for_ever())
+    crash_detector = entry.server.application.forwarder.crash_detector
+    monkeypatch.setattr(
+        type(crash_detector), "note_break", lambda *args: look_for_ever()
+    )
     with gevent.socket.create_connection(("127.0.0.1", entry.port)) as sock:
         sock.sendall(f"GET {POISON} HTTP/1.1\r\nHost: x\r\n\r\n".encode())
         wait_for(lambda: looks)
--- a/tests/entry/callers/test_many_guards.py
+++ b/tests/entry/callers/test_many_guards.py
@@ -5,13 +5,13 @@
 
 from cairnferry.coordination import Row
 from cairnferry.entry._ports import FeedUnavailable
-from cairnferry.entry.callers import Guard, suspicion_board
+from cairnferry.entry.callers import CrashGuard, quarantine_board
 from cairnferry.entry.callers._block_table import (
     MAX_ROWS,
     BlockTable,
 )
 from cairnferry.entry.callers._guard import REMIND_S
-from cairnferry.entry.targets import LostRun
+from cairnferry.entry.targets import InterruptedRequest
 from cairnferry.entry.telemetry import Metrics
 from cairnferry.policy import (
     Call,
@@ -29,15 +29,15 @@
         self.boards = []
         self.guards = []
         for number in range(count):
-            guard = Guard(Metrics(), self._teller(number), table=BlockTable(rows))
+            guard = CrashGuard(Metrics(), self._teller(number), table=BlockTable(rows))
             self.guards.append(guard)
-            self.boards.append(suspicion_board(guard.hear))
+            self.boards.append(quarantine_board(guard.receive))
         self.cut = set()
 
     def read(self, table):
         """Let all take in the rows, as they follow the table."""
         for guard in self.guards:
-            guard.take_rows(dict(table.rows))
+            guard.apply_rows(dict(table.rows))
 
     def _teller(self, number):
         def tell(note, again):
@@ -77,14 +77,14 @@
 
 
 def lost(identity, target, at):
-    return LostRun(identity, "r", "s", target, at - 0.1, at)
+    return InterruptedRequest(identity, "r", "s", target, at - 0.1, at)
 
 
 def block_at_one(fleet, clock, identity=None):
     """Let three targets end at the first daemon, one after the other."""
     identity = identity or request()
     for number in range(3):
-        fleet.guards[0].note_end(lost(identity, f"i-{number}", clock.now))
+        fleet.guards[0].note_crash(lost(identity, f"i-{number}", clock.now))
         clock.now += 0.2
     gevent.sleep(0)
     return identity
@@ -98,12 +98,12 @@
     fleet = Fleet(clock, 5)
     identity = request()
     for number, guard in enumerate(fleet.guards[:3]):
-        guard.note_end(lost(identity, f"i-{number}", clock.now))
+        guard.note_crash(lost(identity, f"i-{number}", clock.now))
         clock.now += 0.2
     for guard in fleet.guards:
         refused = guard.admit(call(identity))
         assert isinstance(refused, Refuse)
-        assert refused.cause is Cause.ENDS_TARGETS
+        assert refused.cause is Cause.CRASHES_TARGETS
 
 
 def test_one_trial_for_all_daemons_also_where_they_do_not_hear_each_other(clock):
@@ -126,7 +126,7 @@
     fleet = Fleet(clock, 1, table)
     identity = block_at_one(fleet, clock)
     guard = fleet.guards[0]
-    guard.take_rows(dict(table.rows))
+    guard.apply_rows(dict(table.rows))
     table.is_up = False
     calls = []
 
@@ -159,8 +159,8 @@
     identity = block_at_one(Fleet(clock, 2, table), clock)
     assert len(table.rows) == 1
     clock.now += 5.0
-    newcomer = Guard(Metrics(), table=BlockTable(table))
-    newcomer.take_rows(dict(table.rows))
+    newcomer = CrashGuard(Metrics(), table=BlockTable(table))
+    newcomer.apply_rows(dict(table.rows))
     refused = newcomer.admit(call(identity))
     assert isinstance(refused, Refuse)
     assert 14 < refused.retry_after < 16
@@ -184,7 +184,7 @@
     fleet.read(table)
     table.rows.clear()
     for guard in fleet.guards:
-        guard.take_rows({})
+        guard.apply_rows({})
         assert guard.admit(call(identity)) is None
         guard.keep_once()
     assert not table.rows
@@ -217,12 +217,12 @@
 def test_an_answer_anywhere_clears_a_request_everywhere(clock):
     fleet = Fleet(clock, 3)
     identity = request()
-    fleet.guards[0].note_end(lost(identity, "i-0", clock.now))
-    fleet.guards[1].note_end(lost(identity, "i-1", clock.now + 0.2))
+    fleet.guards[0].note_crash(lost(identity, "i-0", clock.now))
+    fleet.guards[1].note_crash(lost(identity, "i-1", clock.now + 0.2))
     clock.now += 0.4
     fleet.guards[2].note_answer(call(identity))
     for number, guard in enumerate(fleet.guards):
-        guard.note_end(lost(identity, f"i-{number + 2}", clock.now + 0.2))
+        guard.note_crash(lost(identity, f"i-{number + 2}", clock.now + 0.2))
     assert all(guard.admit(call(identity)) is None for guard in fleet.guards)
 
 
@@ -230,8 +230,8 @@
     fleet = Fleet(clock, 1)
     guard = fleet.guards[0]
     identity = request()
-    guard.note_end(lost(identity, "i-0", clock.now))
-    guard.note_end(lost(identity, "i-1", clock.now + 0.2))
+    guard.note_crash(lost(identity, "i-0", clock.now))
+    guard.note_crash(lost(identity, "i-1", clock.now + 0.2))
     first, second = call(identity), call(identity)
     assert guard.admit(first) is None
     assert first.is_suspect
@@ -242,24 +242,24 @@
 
 def test_a_flood_of_ends_is_told_up_to_a_rate_and_what_counts_goes_first(clock):
     told = []
-    guard = Guard(Metrics(), lambda note, again: told.append(note))
+    guard = CrashGuard(Metrics(), lambda note, again: told.append(note))
     suspect = request("/suspect")
-    guard.note_end(lost(suspect, "i-0", clock.now))
+    guard.note_crash(lost(suspect, "i-0", clock.now))
     for number in range(500):
-        guard.note_end(lost(request(f"/{number}"), "i-0", clock.now))
+        guard.note_crash(lost(request(f"/{number}"), "i-0", clock.now))
     assert len(told) < 100
-    guard.note_end(lost(suspect, "i-1", clock.now + 0.2))
+    guard.note_crash(lost(suspect, "i-1", clock.now + 0.2))
     assert told[-1].subject == suspect.content
     assert guard.metrics.quarantine["not-told"] > 400
 
 
 def test_rows_have_a_bound(clock):
     table = Table()
-    guard = Guard(Metrics(), table=BlockTable(table))
+    guard = CrashGuard(Metrics(), table=BlockTable(table))
     for number in range(MAX_ROWS + 10):
         for end in range(3):
             at = clock.now + 0.2 * end
-            guard.note_end(lost(request(f"/{number}"), f"i-{end}", at))
+            guard.note_crash(lost(request(f"/{number}"), f"i-{end}", at))
         gevent.sleep(0)
-        guard.take_rows(dict(table.rows))
+        guard.apply_rows(dict(table.rows))
     assert len(table.rows) == MAX_ROWS
--- a/tests/entry/callers/test_suspicions.py
+++ b/tests/entry/callers/test_quarantine_notes.py
@@ -3,14 +3,14 @@
 import pytest
 
 from cairnferry.coordination import Note, Row
-from cairnferry.entry.callers import Guard, suspicion_board
+from cairnferry.entry.callers import CrashGuard, quarantine_board
 from cairnferry.entry.callers._block_table import (
     decode_block,
     encode_block,
     name_of,
     read_name,
 )
-from cairnferry.entry.callers._suspicions import (
+from cairnferry.entry.callers._quarantine_notes import (
     AnswerTold,
     BlockTold,
     EndTold,
@@ -21,14 +21,14 @@
 from cairnferry.policy import (
     Block,
     BlockRef,
-    End,
+    TargetCrash,
 )
 
 
 @pytest.mark.parametrize(
     "told",
     [
-        EndTold("c0ffee", End("i-1 of two", "cafe", 99.875, 100.0)),
+        EndTold("c0ffee", TargetCrash("i-1 of two", "cafe", 99.875, 100.0)),
         AnswerTold("c0ffee", "*", 100.0),
         BlockTold(BlockRef("c0ffee", "cafe"), Block(100.0, 99.5, 2)),
     ],
@@ -41,8 +41,8 @@
 @pytest.mark.parametrize("source", ["", "ended", "ended a b c", "later than this", "*"])
 def test_a_note_that_cannot_be_read_changes_nothing(source):
     assert read_note("c0ffee", source, 100.0) is None
-    guard = Guard(Metrics())
-    suspicion_board(guard.hear).post(Note("c0ffee", source, 9.0), 100.0, 3)
+    guard = CrashGuard(Metrics())
+    quarantine_board(guard.receive).post(Note("c0ffee", source, 9.0), 100.0, 3)
     assert len(guard.quarantine) == 0
 
 
@@ -52,8 +52,8 @@
     block = Block(90.0, 89.5, 3)
     read = decode_block(encode_block(block)).ok
     assert read == Block(pytest.approx(90.0), pytest.approx(89.5), 3)
-    guard = Guard(Metrics())
+    guard = CrashGuard(Metrics())
     for data in (b"", b"[]", b'{"at": "x"}', b'{"at": 1}', b"\xff"):
         assert decode_block(data).is_error()
-        guard.take_rows({name_of(ref): Row(name_of(ref), data, 1)})
+        guard.apply_rows({name_of(ref): Row(name_of(ref), data, 1)})
     assert guard.snapshot() == []
--- a/tests/entry/callers/test_starting.py
+++ b/tests/entry/callers/test_startup_retry.py
@@ -2,11 +2,11 @@
 
 import pytest
 
-from cairnferry.entry.callers._starting import Starting
+from cairnferry.entry.callers._startup_retry import StartupRetry
 
 
 def starting(ready=False):
-    return Starting(100.0, lambda: ready)
+    return StartupRetry(100.0, lambda: ready)
 
 
 @pytest.mark.parametrize("elapsed", [0.15, 0.3, 0.45, 2.0, 60.0])
--- a/tests/entry/changelog/test_configuration.py
+++ b/tests/entry/changelog/test_configuration.py
@@ -9,11 +9,11 @@
     Member,
     Membership,
     MemberState,
-    NoteBoard,
+    NoteRegistry,
     TableUnavailable,
 )
+from cairnferry.entry.changelog._change_log_sync import ChangeLogSync
 from cairnferry.entry.changelog._configuration import CannotApply, Configuration, Gap
-from cairnferry.entry.changelog._distribution import Distribution
 from cairnferry.entry.members._cluster import Cluster
 from cairnferry.records import RecordSet, UnknownSchemaVersion
 from cairnferry.standins import service_v1, service_v2
@@ -103,9 +103,9 @@
 def make_distribution(configuration):
     me = Member("a", "z", "a:1", "a:2", 1, MemberState.ALIVE)
     membership = Membership(me, random.Random(1))
-    notes = NoteBoard(lambda *note: None)
+    notes = NoteRegistry(lambda *note: None)
     cluster = Cluster(membership, configuration, notes, lambda: 1.0)
-    return Distribution(None, None, configuration, cluster, random.Random(1))
+    return ChangeLogSync(None, None, configuration, cluster, random.Random(1))
 
 
 def test_a_peer_gives_the_missing_rows():
--- a/tests/entry/daemon/test_listing.py
+++ b/tests/entry/daemon/test_listing.py
@@ -70,7 +70,7 @@
     me = EntryRow("a", "hall", "10.0.0.1:1")
     enrolled = Enrolment(listed, me, keys, peers, peers, random.Random(1))
     enrolled.refresh()
-    assert peers.strangers == {"10.0.0.1:3": "yard"}
+    assert peers.listed_peers == {"10.0.0.1:3": "yard"}
     assert peers.listed["bb"].leaving
     assert not peers.listed["ccc"].leaving
     listed.instances.fetched = Error(TableUnavailable("status 503"))
--- a/tests/entry/following/test_following.py
+++ b/tests/entry/following/test_following.py
@@ -6,7 +6,7 @@
 import pytest
 from expression import Error, Ok
 
-from cairnferry.coordination import Batch, News, Row
+from cairnferry.coordination import Batch, Row, TableUpdate
 from cairnferry.entry._ports import FeedUnavailable, HistoryLost
 from cairnferry.entry.following import _following, _table
 from cairnferry.entry.following._following import Follower
@@ -238,7 +238,7 @@
     follower, feed, seen = follow(batch(5, put("a", 3)), batch(9, put("c", 9)))
     follower.one_call()
     follower._rest()
-    follower.table.take_news(News(False, (put("b", 7),), 7))
+    follower.table.apply_update(TableUpdate(False, (put("b", 7),), 7))
     follower.one_call()
     assert feed.asked == ["all", 7]
     assert seen[-1] == {"a": 3, "b": 7, "c": 9}
--- a/tests/entry/following/test_handover.py
+++ b/tests/entry/following/test_handover.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from cairnferry.coordination import News, Row
+from cairnferry.coordination import Row, TableUpdate
 from cairnferry.entry.following._handover import Handover, HandoverPages
 
 RULES = json.dumps([{"name": f"r-{n}", "prefix": f"/{n}/"} for n in range(2000)])
 ROWS = tuple(Row(f"i-{n}", b'{"zone": "\xc3\xa9"}', n + 1) for n in range(200))
-EVACUATIONS = News(True, (Row("evacuate/hall", b"{}", 7),), 9)
-HANDOVER = Handover(RULES.encode(), News(True, ROWS, 300), EVACUATIONS)
+EVACUATIONS = TableUpdate(True, (Row("evacuate/hall", b"{}", 7),), 9)
+HANDOVER = Handover(RULES.encode(), TableUpdate(True, ROWS, 300), EVACUATIONS)
 
 
 @pytest.mark.parametrize("write", [Handover.write, Handover.pack])
@@ -44,6 +44,6 @@
 
 
 def test_without_rules_nothing_is_handed_over():
-    empty = Handover(b"", News(True, (), 0))
+    empty = Handover(b"", TableUpdate(True, (), 0))
     pages = HandoverPages(lambda: empty, lambda size, now: True)
     assert pages.page("/handover?packed").status.startswith("503")
--- a/tests/entry/following/test_rules_exchange.py
+++ b/tests/entry/following/test_rules_exchange.py
@@ -4,13 +4,13 @@
 
 import pytest
 
-from cairnferry.coordination import NO_NEWS, DocumentNews
+from cairnferry.coordination import NO_DOCUMENT_NEWS, DocumentNews
 from cairnferry.entry.following._rules_exchange import (
     NO_SUCH_CALL,
     PATIENCE_S,
     SMALL_BYTES,
-    FetchTurns,
-    GivingPace,
+    DocumentRateLimit,
+    FetchSlots,
     RulesExchange,
 )
 from cairnferry.peers import PeerCallFailed
@@ -39,34 +39,34 @@
 
 def test_a_herd_that_asks_at_once_leaves_most_of_the_link():
     """Guards against links that carry rules to all and no request any more."""
-    pace = GivingPace(SLOW_LINK)
-    given = sum(DOCUMENT * pace.has_room(DOCUMENT, 100 + n / 1000) for n in range(2000))
+    pace = DocumentRateLimit(SLOW_LINK)
+    given = sum(DOCUMENT * pace.admit(DOCUMENT, 100 + n / 1000) for n in range(2000))
     assert given < 2.2 * 0.5 * SLOW_LINK
     assert given > 2.0 * 0.3 * SLOW_LINK
 
 
 def test_small_news_is_given_whatever_else_goes_out():
-    pace = GivingPace(SLOW_LINK)
-    while pace.has_room(DOCUMENT, 1.0):
+    pace = DocumentRateLimit(SLOW_LINK)
+    while pace.admit(DOCUMENT, 1.0):
         pass
-    assert pace.has_room(SMALL_BYTES, 1.0)
+    assert pace.admit(SMALL_BYTES, 1.0)
 
 
 def test_a_document_that_is_larger_than_the_burst_is_given_now_and_then():
-    pace = GivingPace(SLOW_LINK)
+    pace = DocumentRateLimit(SLOW_LINK)
     size = 1_000_000
-    given = sum(pace.has_room(size, n / 10) for n in range(100))
+    given = sum(pace.admit(size, n / 10) for n in range(100))
     assert given == 1 + int(9.9 * 0.4 * SLOW_LINK / size)
 
 
 def test_without_a_known_rate_everything_is_given():
-    pace = GivingPace(math.inf)
-    assert all(pace.has_room(DOCUMENT, 1.0) for _ in range(100))
+    pace = DocumentRateLimit(math.inf)
+    assert all(pace.admit(DOCUMENT, 1.0) for _ in range(100))
 
 
 def test_one_peer_at_a_time_is_asked_and_another_only_if_it_is_slow():
     """Guards against the same document from several peers at once."""
-    turns = FetchTurns()
+    turns = FetchSlots()
     assert turns.begin("a", 1.0)
     assert not turns.begin("b", 1.0 + PATIENCE_S / 2)
     assert not turns.begin("a", 9.0)
@@ -85,7 +85,7 @@
 
 
 def test_a_peer_of_an_earlier_release_gives_the_whole():
-    assert RulesExchange().fetch(Peer(NO_NEWS, b"{rules}"), 0) == b"{rules}"
+    assert RulesExchange().fetch(Peer(NO_DOCUMENT_NEWS, b"{rules}"), 0) == b"{rules}"
 
 
 @pytest.mark.parametrize("news", [DocumentNews(4, 0, b"x"), DocumentNews(4, 3, b"x")])
--- a/tests/entry/members/_clusters.py
+++ b/tests/entry/members/_clusters.py
@@ -2,7 +2,7 @@
 
 import random
 
-from cairnferry.coordination import Member, Membership, MemberState, NoteBoard
+from cairnferry.coordination import Member, Membership, MemberState, NoteRegistry
 from cairnferry.entry.members._cluster import Cluster
 
 
@@ -21,4 +21,4 @@
     membership = Membership(member(name, zone), random.Random(1))
     for other in others:
         membership.merge(other, 0.0)
-    return Cluster(membership, Rules(), NoteBoard(lambda *note: None), lambda: 1.0)
+    return Cluster(membership, Rules(), NoteRegistry(lambda *note: None), lambda: 1.0)
--- a/tests/entry/members/test_enrolment.py
+++ b/tests/entry/members/test_enrolment.py
@@ -72,7 +72,7 @@
 
     def __init__(self, name):
         self.listed = {}
-        self.strangers = {}
+        self.listed_peers = {}
         self.hurried = 0
         self.membership = Membership(member(name), random.Random(1))
 
@@ -115,8 +115,8 @@
     second_key, second = enrol(registry, "bb")
     assert first_key == second_key
     assert len(first_key) == _enrolment.KEY_BYTES
-    assert first.strangers == {}
-    assert second.strangers == {"10.0.0.1:1": "hall"}
+    assert first.listed_peers == {}
+    assert second.listed_peers == {"10.0.0.1:1": "hall"}
     assert set(second.listed) == {"a", "bb"}
     assert second.hurried == 1
 
@@ -271,6 +271,6 @@
     enrolled.keep(0.0)
     enrolled.keep(_enrolment.GONE_S)
     assert enrolled._removed == {"ccc"}
-    peers.membership.pass_time(10 * peers.membership.times.memory)
-    enrolled.keep(10 * peers.membership.times.memory)
+    peers.membership.apply_timeouts(10 * peers.membership.times.retention)
+    enrolled.keep(10 * peers.membership.times.retention)
     assert enrolled._removed == set()
--- a/tests/entry/members/test_gossip.py
+++ b/tests/entry/members/test_gossip.py
@@ -5,7 +5,7 @@
 import attrs
 import pytest
 
-from cairnferry.coordination import Batch, MemberState, News, Row, TableCopy
+from cairnferry.coordination import Batch, MemberState, Row, TableReplica, TableUpdate
 from cairnferry.entry._ports import EntryRow
 from cairnferry.entry.members import _gossip
 from cairnferry.entry.members._gossip import Gossip
@@ -21,14 +21,14 @@
 class Table:
     """A shared table that holds nothing back."""
 
-    copy: TableCopy = attrs.field(factory=TableCopy)
+    copy: TableReplica = attrs.field(factory=TableReplica)
     grace_left: float = 0.0
 
     def hold_for(self, seconds):
         self.grace_left = max(self.grace_left, seconds)
 
-    def take_news(self, news):
-        return self.copy.take_news(news)
+    def apply_update(self, news):
+        return self.copy.apply_update(news)
 
 
 class Links:
@@ -127,15 +127,15 @@
 def test_what_is_new_in_a_table_is_fetched_once_and_alone(start, links):
     rows = tuple(Row(f"i-{n}", b"x", n + 1) for n in range(300))
     knowing = start("e1", [member("e2")])
-    knowing.cluster.tables["targets"].copy.take_listing(Batch(rows, 400))
+    knowing.cluster.tables["targets"].copy.apply_listing(Batch(rows, 400))
     asking = start("e2", [member("e1")])
     asking.one_round()
     asking._calls.join()
     assert len(asking.cluster.tables["targets"].copy.rows) == 300
     change = Batch((Row("i-0", None, 500),), 500)
-    knowing.cluster.tables["targets"].copy.take_changes(change)
+    knowing.cluster.tables["targets"].copy.apply_changes(change)
     news = knowing.news_since("targets", 400)
-    assert news == News(False, (Row("i-0", None, 500),), 500)
+    assert news == TableUpdate(False, (Row("i-0", None, 500),), 500)
     calls_of(asking, links)
     assert ("targets", 400) in links.called
     assert calls_of(asking, links) == [False]
@@ -145,7 +145,7 @@
     called = start("e1", [member("e2")])
     calling = start("e2", [member("e1")])
     rows = (Row("i-1", b"x", 3),)
-    calling.cluster.tables["targets"].copy.take_listing(Batch(rows, 5))
+    calling.cluster.tables["targets"].copy.apply_listing(Batch(rows, 5))
     calling.one_round()
     calling._calls.join()
     called._calls.join()
@@ -176,7 +176,7 @@
         tables=(TableState("later", 9, 0.0),),
     )
     gossip.heartbeat(theirs)
-    assert gossip.news_since("later", 0) == News(False, (), 0)
+    assert gossip.news_since("later", 0) == TableUpdate(False, (), 0)
 
 
 def test_one_that_another_zone_calls_gone_by_mistake_hears_of_it(start):
@@ -190,7 +190,7 @@
     start("e2", [member("e1"), member("y1", "yard")])
     yard = start("y1", [member("e1"), member("e2")], "yard")
     yard.cluster.membership.suspect("e1", 0.0)
-    yard.cluster.membership.pass_time(10.0)
+    yard.cluster.membership.apply_timeouts(10.0)
     yard._call("e2", "e2:1", "hall")
     first.one_round()
     first._calls.join()
@@ -206,10 +206,10 @@
     """
     knowing = start("e1", [])
     rows = (Row("i-1", b"x", 3),)
-    knowing.cluster.tables["targets"].copy.take_listing(Batch(rows, 5))
+    knowing.cluster.tables["targets"].copy.apply_listing(Batch(rows, 5))
     late = start("e2", [])
     late.rounds = 1
-    late.strangers = {"e1:1": "hall"}
+    late.listed_peers = {"e1:1": "hall"}
     late.meet()
     late.one_round()
     late._calls.join()
@@ -219,7 +219,7 @@
 def test_one_that_joins_by_a_far_one_may_fetch_from_it(start, links):
     knowing = start("y1", [], "yard")
     rows = (Row("i-1", b"x", 3),)
-    knowing.cluster.tables["targets"].copy.take_listing(Batch(rows, 5))
+    knowing.cluster.tables["targets"].copy.apply_listing(Batch(rows, 5))
     late = start("e2", [])
     late.meet(EntryRow("y1", "yard", "y1:1"))
     late._calls.join()
--- a/tests/entry/members/test_duty.py
+++ b/tests/entry/members/test_watcher_role.py
@@ -6,8 +6,8 @@
 import pytest
 
 from cairnferry.coordination import MemberState
-from cairnferry.entry.members import _duty
-from cairnferry.entry.members._duty import NO_STORE, WatchDuty
+from cairnferry.entry.members import _watcher_role
+from cairnferry.entry.members._watcher_role import NO_STORE, WatcherRole
 
 from ._clusters import cluster, member
 
@@ -25,9 +25,9 @@
     duties = {}
     for name in names:
         others = [member(other) for other in names if other != name]
-        duty = WatchDuty(cluster(name, *others, *far))
+        duty = WatcherRole(cluster(name, *others, *far))
         duty.is_ready = True
-        duty.told_at = time.monotonic() - 1000
+        duty.joined_at = time.monotonic() - 1000
         duty.cluster.confirmation.confirm(time.monotonic())
         duties[name] = duty
     return duties
@@ -35,7 +35,7 @@
 
 def watching(duties, now=None):
     now = time.monotonic() if now is None else now
-    return [name for name, duty in duties.items() if duty.is_mine_at(now)]
+    return [name for name, duty in duties.items() if duty.is_active_at(now)]
 
 
 def tell(duties, fact):
@@ -76,12 +76,12 @@
     Cause: the one refused is the one that watches, and it goes on trying alone.
     """
     (first,) = watching(zone)
-    assert zone[first].note_failure()
-    (note,) = zone[first].cluster.notes.in_force(time.monotonic())
+    assert zone[first].report_store_failure()
+    (note,) = zone[first].cluster.notes.active_notes(time.monotonic())
     tell(zone, lambda duty: duty.cluster.post(note))
     (second,) = watching(zone)
     assert second != first
-    later = time.monotonic() + _duty.REFUSED_S + 1
+    later = time.monotonic() + _watcher_role.REFUSED_S + 1
     tell(zone, lambda duty: duty.cluster.confirmation.confirm(later))
     assert watching(zone, later) == [first]
 
@@ -94,18 +94,18 @@
     """
     for _ in range(len(NAMES)):
         for name in watching(zone):
-            zone[name].note_failure()
-            notes = zone[name].cluster.notes.in_force(time.monotonic())
+            zone[name].report_store_failure()
+            notes = zone[name].cluster.notes.active_notes(time.monotonic())
             for note in notes:
                 tell(zone, lambda duty, note=note: duty.cluster.post(note))
     asking = {
         name
         for name in NAMES
-        if zone[name].cluster.notes.holds(name, NO_STORE, time.monotonic())
+        if zone[name].cluster.notes.is_in_effect(name, NO_STORE, time.monotonic())
     }
-    assert len(asking) <= _duty.CANDIDATES
+    assert len(asking) <= _watcher_role.CANDIDATES
     in_a_minute = time.monotonic() + 60
-    assert 1 <= len(watching(zone, in_a_minute)) <= _duty.CANDIDATES
+    assert 1 <= len(watching(zone, in_a_minute)) <= _watcher_role.CANDIDATES
 
 
 def test_more_watch_while_nothing_is_confirmed(zone):
@@ -113,9 +113,9 @@
 
     Events: the watcher's connection to the store falls silent; it lives for the others.
     """
-    later = time.monotonic() + _duty.LATE_S + 0.5
+    later = time.monotonic() + _watcher_role.LATE_S + 0.5
     assert len(watching(zone, later)) == 2
-    assert len(watching(zone, later + 2 * _duty.LATER_S)) == 4
+    assert len(watching(zone, later + 2 * _watcher_role.LATER_S)) == 4
 
 
 def test_each_side_of_a_partition_has_watchers(zone):
@@ -138,9 +138,9 @@
     """
     duties = make_zone(["e1"])
     duty = duties["e1"]
-    duty.told_at = now = time.monotonic()
-    assert not duty.is_mine_at(now)
-    assert duty.is_mine_at(now + _duty.SETTLE_S)
+    duty.joined_at = now = time.monotonic()
+    assert not duty.is_active_at(now)
+    assert duty.is_active_at(now + _watcher_role.SETTLE_S)
 
 
 def test_one_that_knows_nobody_yet_does_not_watch():
@@ -157,7 +157,7 @@
     """
     duties = make_zone(NAMES[:5])
     last = next(name for name in NAMES[:5] if name not in watching(duties))
-    duties[last].told_at = -math.inf
+    duties[last].joined_at = -math.inf
     assert last in watching(duties)
-    settled = time.monotonic() + _duty.STAY * _duty.SETTLE_S
+    settled = time.monotonic() + _watcher_role.STAY * _watcher_role.SETTLE_S
     assert last not in watching(duties, settled)
--- a/tests/entry/targets/test_limit_words.py
+++ b/tests/entry/targets/test_limit_header.py
@@ -5,7 +5,12 @@
 
 import pytest
 
-from cairnferry.entry.targets import Limiter, LimitFault, OwnTargets, read_limit
+from cairnferry.entry.targets import (
+    DefaultTargetConvention,
+    Limiter,
+    LimitFault,
+    read_limit,
+)
 from cairnferry.entry.telemetry import Metrics
 from cairnferry.policy import TargetLimits
 from cairnferry.wire import Failure, Incomplete, Reply
@@ -65,14 +70,14 @@
     assert HostedTargets().denies_limit(reply) == denies
 
 
-@pytest.mark.parametrize("convention", [HostedTargets(), OwnTargets()])
+@pytest.mark.parametrize("convention", [HostedTargets(), DefaultTargetConvention()])
 def test_no_answer_says_nothing(convention):
     assert convention.limit_of(Incomplete(Failure.RESET)) is None
     assert not convention.denies_limit(Incomplete(Failure.RESET))
 
 
 def test_on_the_own_interface_a_refusal_names_limits_and_denies_none():
-    convention = OwnTargets()
+    convention = DefaultTargetConvention()
     assert convention.limit_of(Reply(200, [("Server-Limit", "4")], b"")) == 4.0
     assert convention.denies_limit(Reply(200, [], b""))
     assert not convention.denies_limit(Reply(503, [], b""))
@@ -94,4 +99,4 @@
     target = SimpleNamespace(identity="i-1", name="i-1")
     attempt = SimpleNamespace(target=target, started=time.monotonic())
     limiter.note_outcome(attempt, reply, HostedTargets())
-    assert limiter.limits.book.rate("i-1") == rate
+    assert limiter.limits.advertised.rate("i-1") == rate
--- a/tests/entry/targets/test_permits.py
+++ b/tests/entry/targets/test_permits.py
@@ -6,11 +6,16 @@
 import attrs
 import pytest
 
-from cairnferry.entry.members import Giver
-from cairnferry.entry.targets import Limiter, PermitAsking, PermitGiving, Services
+from cairnferry.entry.members import PermitIssuer
+from cairnferry.entry.targets import (
+    Limiter,
+    LocalPermitIssuer,
+    PermitRequester,
+    Services,
+)
 from cairnferry.entry.telemetry import Metrics
 from cairnferry.peers import LimitState, PeerCallFailed, PermitsWanted
-from cairnferry.policy import NO_LIMIT, Call, NamedLimit, settings_for
+from cairnferry.policy import NO_LIMIT, AdvertisedLimit, Call, settings_for
 from cairnferry.records import Lifecycle, Service, Target
 
 SERVICE = Service("s", 1000, 0.2, False, 8, retry_slack=6, retry_window_s=10.0)
@@ -37,24 +42,24 @@
     part: float = 1.0
     doubted: list = attrs.field(factory=list)
 
-    def of(self, target, zone):
-        return Giver(self.name, "hall", f"{self.name}:1")
+    def issuer_for(self, target, zone):
+        return PermitIssuer(self.name, "hall", f"{self.name}:1")
 
-    def is_me(self, target, zone):
+    def is_issuer(self, target, zone):
         return self.mine
 
-    def part_in_view(self, zone):
+    def visible_share(self, zone):
         return self.part
 
-    def doubt(self, name):
+    def mark_unresponsive(self, name):
         self.doubted.append(name)
 
 
 class Link:
     """Brings what is asked to a giver; may lose the answer."""
 
-    def __init__(self, giving):
-        self.giving = giving
+    def __init__(self, issuer):
+        self.issuer = issuer
         self.asked = []
         self.lost = False
 
@@ -63,7 +68,7 @@
 
     def ask_permits(self, asker, wanted):
         self.asked.append(wanted)
-        given = self.giving.give(asker, list(wanted))
+        given = self.issuer.issue(asker, list(wanted))
         if self.lost:
             raise PeerCallFailed("giver:1", "timeout")
         return given
@@ -80,8 +85,8 @@
         self.services.install_targets(TARGETS)
         self.policy = self.services.runtime("s").policy
         self.limiter = Limiter(self.services.limits, Metrics())
-        self.asking = PermitAsking(
-            name, self.services, self.limiter, givers, link.giving, link
+        self.asking = PermitRequester(
+            name, self.services, self.limiter, givers, link.issuer, link
         )
 
     def arrive(self, count, now):
@@ -97,14 +102,14 @@
 
 
 @pytest.fixture
-def giving():
+def issuer():
     limiter = Limiter(Services("hall", random.Random(2), None).limits, Metrics())
-    return PermitGiving(limiter, Givers(), random.Random(3))
+    return LocalPermitIssuer(limiter, Givers(), random.Random(3))
 
 
 @pytest.fixture
-def link(giving):
-    return Link(giving)
+def link(issuer):
+    return Link(issuer)
 
 
 @pytest.fixture
@@ -138,26 +143,26 @@
 
 
 def test_the_one_that_gives_permits_learns_the_limit_by_the_question(
-    daemon, giving, clock
+    daemon, issuer, clock
 ):
     daemon.arrive(2, clock.now)
     daemon.ask()
-    assert giving.limiter.limits.book.rate("i-0") == 4.0
+    assert issuer.limiter.limits.advertised.rate("i-0") == 4.0
 
 
 def test_the_question_brings_the_end_of_a_limit_to_the_one_that_asks(
-    daemon, giving, clock
+    daemon, issuer, clock
 ):
-    giving.limiter.learn("i-0", NamedLimit(NO_LIMIT, clock.now + 0.1), by="test")
+    issuer.limiter.learn("i-0", AdvertisedLimit(NO_LIMIT, clock.now + 0.1), by="test")
     daemon.arrive(2, clock.now)
     daemon.ask()
     assert not daemon.limiter.limits
     assert daemon.held() == [0, 0]
 
 
-def test_one_that_is_not_the_giver_gives_nothing(giving, clock):
-    giving.givers.mine = False
-    (given,) = giving.give("d", [wanted("i-0")])
+def test_one_that_is_not_the_giver_gives_nothing(issuer, clock):
+    issuer.givers.mine = False
+    (given,) = issuer.issue("d", [wanted("i-0")])
     assert given.delays == ()
     assert given.retry_s > 0
 
@@ -190,30 +195,30 @@
     assert second.returned == 1
 
 
-def test_what_is_in_view_of_a_part_is_all_that_it_gives(giving, clock):
-    giving.givers.part = 0.25
-    giving.give("d", [wanted("i-0")])
+def test_what_is_in_view_of_a_part_is_all_that_it_gives(issuer, clock):
+    issuer.givers.part = 0.25
+    issuer.issue("d", [wanted("i-0")])
     clock.now += 2.0
     starts = []
     for _ in range(200):
         clock.now += 0.05
-        (given,) = giving.give("d", [wanted("i-0", count=8)])
+        (given,) = issuer.issue("d", [wanted("i-0", count=8)])
         starts += [clock.now + delay for delay in given.delays]
     assert len(starts) <= 10.0 * 4.0 * 0.25 + 2
 
 
-def test_a_limit_that_holds_is_told_again_and_again_but_seldom(giving, clock):
+def test_a_limit_that_holds_is_told_again_and_again_but_seldom(issuer, clock):
     told = []
-    giving.limiter.tell = lambda note, again: told.append(again)
+    issuer.limiter.tell = lambda note, again: told.append(again)
     for _ in range(120):
         clock.now += 0.1
-        giving.give("d", [wanted("i-0")])
+        issuer.issue("d", [wanted("i-0")])
     assert told == [True, True]
 
 
-def test_targets_that_nobody_asks_about_are_forgotten(giving, clock):
-    giving.give("d", [wanted("i-0")])
-    giving.drop_unused(clock.now + 10.0)
-    assert len(giving._given) == 1
-    giving.drop_unused(clock.now + 60.0)
-    assert len(giving._given) == 0
+def test_targets_that_nobody_asks_about_are_forgotten(issuer, clock):
+    issuer.issue("d", [wanted("i-0")])
+    issuer.drop_unused(clock.now + 10.0)
+    assert len(issuer._given) == 1
+    issuer.drop_unused(clock.now + 60.0)
+    assert len(issuer._given) == 0
--- a/tests/entry/targets/test_asking.py
+++ b/tests/entry/targets/test_status_checks.py
@@ -8,10 +8,10 @@
 from gevent import monkey
 from gevent.socket import wait_read
 
-from cairnferry.entry.targets import _asking
-from cairnferry.entry.targets._asking import StatusChecks
+from cairnferry.entry.targets import _status_checks
 from cairnferry.entry.targets._conventions import CheckResult
 from cairnferry.entry.targets._runtime import ServiceRuntime
+from cairnferry.entry.targets._status_checks import StatusChecks
 from cairnferry.entry.telemetry._metrics import Metrics
 from cairnferry.policy import LoadReport, ServicePolicy, settings_for
 from cairnferry.records import Lifecycle, Service, Target
@@ -61,7 +61,9 @@
 
 
 def told(runtime):
-    return [(event.target, str(event.belief)) for event in runtime.policy.take_events()]
+    return [
+        (event.target, str(event.condition)) for event in runtime.policy.take_events()
+    ]
 
 
 def test_a_process_that_was_held_up_does_not_call_its_targets_silent(
@@ -77,7 +79,7 @@
         gevent.sleep(0)
     for target in TARGETS:
         upstreams.answer(target.name)
-    stall(2 * _asking.ROUND_S)
+    stall(2 * _status_checks.ANSWER_WAIT_S)
     asking.get()
     assert told(runtime) == []
 
@@ -102,8 +104,10 @@
 def test_checks_keep_to_the_budget_of_all_instances(upstreams, runtime):
     """Symptom: targets spend their time on answering checks at the busiest hour."""
     checks = StatusChecks(upstreams, Metrics(), rate=1.0)
-    checks.share_with(instances=2, targets=len(TARGETS))
-    allowed = int(_asking.BUDGET_SHARE * len(TARGETS) / 2 * _asking.BURST_S)
+    checks.set_instances(instances=2, targets=len(TARGETS))
+    allowed = int(
+        _status_checks.BUDGET_SHARE * len(TARGETS) / 2 * _status_checks.BURST_S
+    )
     for _ in range(10):
         for target in TARGETS:
             upstreams.answer(target.name)
--- a/tests/entry/targets/test_upstreams.py
+++ b/tests/entry/targets/test_upstreams.py
@@ -21,11 +21,11 @@
         self.meanwhile = meanwhile
         self.given = []
 
-    def take(self, idempotent, timeout):
+    def acquire(self, idempotent, timeout):
         self.meanwhile()
         return "connection"
 
-    def give(self, conn):
+    def release(self, conn):
         self.given.append(conn)
 
 
@@ -36,7 +36,7 @@
 
     def ask():
         if word == "rest":
-            state.resting_until = math.inf
+            state.back_off_until = math.inf
         else:
             state.draining_until[DrainSource.PLATFORM] = math.inf
 
--- a/tests/golden/test_sessions.py
+++ b/tests/golden/test_sessions.py
@@ -8,7 +8,7 @@
 from thrift.protocol.TCompactProtocol import TCompactProtocolAcceleratedFactory
 from thrift.transport.TTransport import TFramedTransport, TMemoryBuffer
 
-from cairnferry.coordination import LogRow, Member, MemberState, News, Note, Row
+from cairnferry.coordination import LogRow, Member, MemberState, Note, Row, TableUpdate
 from cairnferry.peers import Heartbeat, TableState
 from cairnferry.peers._generated.peer import Peer
 from cairnferry.peers._messages import news_to_wire, row_to_wire, to_wire
@@ -178,6 +178,8 @@
     frame = _frame(lambda client: client.send_news_since("targets", 1200))
     lines.append(f"news call {frame}\n")
     rows = (Row("i-1", b"{}", 1230), Row("i-2", None, 1234))
-    answer = Peer.news_since_result(success=news_to_wire(News(False, rows, 1234)))
+    answer = Peer.news_since_result(
+        success=news_to_wire(TableUpdate(False, rows, 1234))
+    )
     lines.append(f"news answer {_frame(lambda client: answer.write(client._oprot))}\n")
     assert "".join(lines) == golden
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -50,7 +50,7 @@
     def snapshot(self):
         return b"\x00\xff" * 10
 
-    def give_permits(self, asker, wanted):
+    def issue_permits(self, asker, wanted):
         self.heard.append((asker, wanted))
         return [PermitsGiven(each.limit, (0.0, 0.25), 0.1) for each in wanted]
 
--- a/tests/policy/_asking.py
+++ b/tests/policy/_status_checks.py
@@ -4,8 +4,8 @@
 
 from cairnferry.policy import (
     Answered,
-    Ask,
     Call,
+    CheckStatus,
     LoadReport,
     ServicePolicy,
     settings_for,
@@ -27,7 +27,7 @@
     return policy
 
 
-def earned(policy, now=0.0, requests=10):
+def with_retry_tokens(policy, now=0.0, requests=10):
     """Let a policy see requests that earn repeats; a new one has none."""
     for _ in range(requests):
         policy.arrive(call(now=now, route="other"), now)
@@ -39,16 +39,18 @@
     for index in range(4):
         now = 1.0 + index / 10
         busy = dict.fromkeys(["n1", "n2"], LoadReport(3))
-        decision, _ = settle(policy, call(now=now), now=now, **busy)
+        decision, _ = decide(policy, call(now=now), now=now, **busy)
         policy.finished(decision.attempt, Answered(failed=True), now + 0.01)
     assert policy._targets._usable.ejected
     return policy
 
 
-def made_anew(*targets, holds, now):
+def recreated_policy(*targets, advisories, now):
     """Give the policy of a service that was dropped and is back."""
     settings = settings_for("ask-first")
-    policy = ServicePolicy(SERVICE, "near", random.Random(3), settings, holds=holds)
+    policy = ServicePolicy(
+        SERVICE, "near", random.Random(3), settings, advisories=advisories
+    )
     policy.update(SERVICE, list(targets), now)
     return policy
 
@@ -66,14 +68,14 @@
         policy.note_check(record.name, report, report is not None, now)
 
 
-def settle(policy, req, now=1.0, **reports):
+def decide(policy, req, now=1.0, **reports):
     """Answer rounds of questions until something else is decided."""
     decision = policy.arrive(req, now)
     rounds = []
-    while isinstance(decision, Ask):
+    while isinstance(decision, CheckStatus):
         rounds.append([record.name for record in decision.targets])
         answer(policy, decision, now, reports)
-        decision = policy.asked(req, now)
+        decision = policy.resume(req, now)
     return decision, rounds
 
 
@@ -85,21 +87,21 @@
     return [target(f"f{index}", "far") for index in range(count)]
 
 
-def learned(policy, route, seconds, rank=1, start=0.0):
+def train_route(policy, route, seconds, rank=1, start=0.0):
     """Let the policy see what a route's requests take."""
     for index in range(30):
         now = start + index * 0.02
         req = call(now=now, route=route, rank=rank)
-        decision, _ = settle(policy, req, now=now)
+        decision, _ = decide(policy, req, now=now)
         policy.finished(decision.attempt, Answered(), now + seconds)
 
 
-def busy(in_use, pace=1.0, count=3):
-    return {f"n{index}": LoadReport(in_use, pace) for index in range(count)}
+def busy(in_use, slowdown=1.0, count=3):
+    return {f"n{index}": LoadReport(in_use, slowdown) for index in range(count)}
 
 
 def in_flight(policy, now, **more):
     """Let the policy send an idempotent request; give its attempt."""
     req = call(now=now, route="r", **more)
-    decision, _ = settle(policy, req, now=now)
+    decision, _ = decide(policy, req, now=now)
     return decision.attempt
--- a/tests/policy/admission/test_budget.py
+++ b/tests/policy/admission/test_budget.py
@@ -24,8 +24,8 @@
         elif budget.spend(now):
             further.append(now)
         start = now - WINDOW_S
-        earned = sum(at > start for at in firsts)
-        assert sum(at > start for at in further) <= 0.2 * earned + 3
+        with_retry_tokens = sum(at > start for at in firsts)
+        assert sum(at > start for at in further) <= 0.2 * with_retry_tokens + 3
 
 
 @given(
@@ -51,8 +51,8 @@
             case "lost":
                 budget = WindowBudget(ratio=0.2, slack=3.0, window=WINDOW_S)
         start = now - WINDOW_S
-        earned = sum(at > start for at in firsts)
-        assert sum(at > start for at in further) <= 0.2 * earned + 3
+        with_retry_tokens = sum(at > start for at in firsts)
+        assert sum(at > start for at in further) <= 0.2 * with_retry_tokens + 3
 
 
 def test_one_that_starts_spends_nothing_before_requests_have_earned_it():
--- a/tests/policy/choice/test_choice.py
+++ b/tests/policy/choice/test_choice.py
@@ -81,7 +81,7 @@
     target = state(policy)
     for _ in range(3):
         policy._targets._ejector.note_failure(target, policy._targets, now)
-    policy._targets._usable.forget()
+    policy._targets._usable.invalidate()
     assert spread(policy, now, count=50)["t0"] == 0
     later = target.ejected_until + 1
     attempts = [send(policy, later) for _ in range(6)]
--- a/tests/policy/choice/test_ring.py
+++ b/tests/policy/choice/test_ring.py
@@ -6,7 +6,7 @@
 import pytest
 
 from cairnferry.policy import ServicePolicy, settings_for
-from policy._asking import SERVICE, busy, call, near, settle
+from policy._status_checks import SERVICE, busy, call, decide, near
 
 # A zone of a large installation.
 DAEMONS = 62
@@ -15,13 +15,13 @@
 
 def daemon(place, targets):
     policy = ServicePolicy(SERVICE, "near", random.Random(3), settings_for("ask-first"))
-    policy.share_with(DAEMONS, place)
+    policy.set_instances(DAEMONS, place)
     policy.update(SERVICE, targets, 0.0)
     return policy
 
 
 def first_asked(policy, now=1.0, **reports):
-    _, rounds = settle(policy, call(now=now), now=now, **reports)
+    _, rounds = decide(policy, call(now=now), now=now, **reports)
     return rounds[0]
 
 
@@ -54,7 +54,7 @@
 def test_where_these_are_busy_it_goes_on_to_the_next(zone):
     first = first_asked(zone[7])
     reports = {name: busy(4, 4.0, TARGETS)[name] for name in first}
-    decision, rounds = settle(zone[7], call(now=2.0), now=2.0, **reports)
+    decision, rounds = decide(zone[7], call(now=2.0), now=2.0, **reports)
     assert rounds[0] == first
     assert decision.attempt.target.name in rounds[1]
 
@@ -74,7 +74,7 @@
 def test_most_of_what_a_daemon_knows_stays_when_another_one_is_lost(zone):
     before = [set(first_asked(each)) for each in zone]
     for index, policy in enumerate(zone[:-1]):
-        policy.share_with(DAEMONS - 1, index / (DAEMONS - 1))
+        policy.set_instances(DAEMONS - 1, index / (DAEMONS - 1))
     after = [set(first_asked(each, now=2.0)) for each in zone[:-1]]
     kept = [len(old & new) for old, new in zip(before, after, strict=False)]
     assert min(kept) >= 2
@@ -85,7 +85,7 @@
     """Symptom: targets idle at which the daemons that were lost had begun."""
     left = zone[::2]
     for index, policy in enumerate(left):
-        policy.share_with(DAEMONS, index / len(left))
+        policy.set_instances(DAEMONS, index / len(left))
     asked = collections.Counter(name for each in left for name in first_asked(each))
     assert len(asked) == TARGETS
     assert max(asked.values()) <= 3
--- a/tests/policy/shared/test_permits.py
+++ b/tests/policy/shared/test_permits.py
@@ -8,12 +8,12 @@
 from hypothesis import strategies as st
 
 from cairnferry.policy import (
-    LimitBook,
-    NamedLimit,
+    AdvertisedLimit,
+    LimitRegistry,
     PermitSchedule,
     TargetLimits,
 )
-from cairnferry.policy.shared._permits import AHEAD_S, HOLD_S
+from cairnferry.policy.shared._permits import AHEAD_S, ISSUER_HOLD_OFF_S
 
 
 def schedule(now=0.0, seed=1):
@@ -27,7 +27,7 @@
 def test_one_that_begins_gives_no_permits_while_those_of_another_may_be_used():
     giving = schedule(10.0)
     grant = giving.grant("a", 4.0, 1, 10.0)
-    assert starts(grant, 10.0) == [10.0 + HOLD_S]
+    assert starts(grant, 10.0) == [10.0 + ISSUER_HOLD_OFF_S]
 
 
 def test_permits_are_given_a_little_ahead_and_no_further():
@@ -86,7 +86,7 @@
         now += pause
         back = min(back, out)
         out -= back
-        giving.give_back(back, rate)
+        giving.return_unused(back, rate)
         granted = len(giving.grant("a", rate, wanted, now).delays)
         out += granted
         used = out
@@ -107,13 +107,13 @@
 def test_at_another_limit_what_was_given_before_counts_no_more():
     giving = schedule(0.0)
     giving.grant("a", 0.2, 3, 10.0)
-    giving.start_anew(10.0, 11.0)
+    giving.restart(10.0, 11.0)
     assert starts(giving.grant("a", 10.0, 1, 11.0), 11.0) == [11.1]
 
 
 def limits_of(per_s=2.0):
     limits = TargetLimits()
-    limits.book.hear("i-1", NamedLimit(per_s, 0.0))
+    limits.advertised.receive("i-1", AdvertisedLimit(per_s, 0.0))
     return limits
 
 
@@ -121,7 +121,7 @@
     limits = limits_of()
     assert not limits.admits("i-1", 5.0)
     assert limits.admits("i-2", 5.0)
-    limits.take_in("i-1", [5.5])
+    limits.add_permits("i-1", [5.5])
     assert not limits.admits("i-1", 5.0)
     assert limits.next_start("i-1", True, 5.0) == 5.5
     assert limits.next_start("i-2", True, 5.0) == math.inf
@@ -133,14 +133,14 @@
 
 def test_a_permit_that_was_not_used_is_counted_once_to_be_given_back():
     limits = limits_of()
-    limits.take_in("i-1", [5.0, 5.5])
-    assert limits.take_lapsed(6.2) == {"i-1": 1}
-    assert limits.take_lapsed(6.3) == {}
+    limits.add_permits("i-1", [5.0, 5.5])
+    assert limits.pop_expired(6.2) == {"i-1": 1}
+    assert limits.pop_expired(6.3) == {}
     assert limits.held("i-1") == 1
 
 
 def test_without_a_limit_nothing_is_held_or_counted():
-    limits = TargetLimits(LimitBook())
+    limits = TargetLimits(LimitRegistry())
     assert not limits
     limits.spend("i-1", True, 1.0)
     assert limits.sent == {}
--- a/tests/policy/shared/test_quarantine.py
+++ b/tests/policy/shared/test_quarantine.py
@@ -10,14 +10,14 @@
 from hypothesis import strategies as st
 
 from cairnferry.policy import (
-    EVERYBODY,
-    Barred,
+    ALL_CALLERS,
     BlockRef,
-    End,
-    Free,
     Quarantine,
+    Quarantined,
     RequestIdentity,
     Suspect,
+    TargetCrash,
+    Unrestricted,
 )
 from cairnferry.policy.shared import _blocks as blocks
 from cairnferry.policy.shared import _identity as identity_module
@@ -33,7 +33,7 @@
 def end(number, at, req=None, caller=None):
     """Give the end at `at` of a target under a run of a tenth of a second."""
     tag = caller or (req or request()).caller_tag
-    return End(f"i-{number}", tag, at - RUN_S, at)
+    return TargetCrash(f"i-{number}", tag, at - RUN_S, at)
 
 
 class Daemon:
@@ -46,19 +46,19 @@
         """Take in ends of one target after the other; give the last block set."""
         found = None
         for number, at in enumerate(times, first):
-            self.quarantine.note_end(req.content, end(number, at, req), at)
-            blamed = self.quarantine.blame(req.content, at)
+            self.quarantine.note_crash(req.content, end(number, at, req), at)
+            blamed = self.quarantine.block_if_proven(req.content, at)
             found = blamed[-1] if blamed else found
         return found
 
     def answer(self, req, at):
         """Take in that a caller had an answer; give the blocks that this lifts."""
         lifted = self.quarantine.clear(req.content, req.caller_tag, at)
-        self.quarantine.blame(req.content, at)
+        self.quarantine.block_if_proven(req.content, at)
         return lifted
 
-    def judge(self, req, now):
-        return self.quarantine.judge(req, now)
+    def check(self, req, now):
+        return self.quarantine.check(req, now)
 
 
 @pytest.fixture
@@ -71,14 +71,14 @@
 
 def test_three_runs_one_after_the_other_that_end_their_targets_block_a_request(daemon):
     req = request()
-    assert daemon.judge(req, 0.0) == Free()
+    assert daemon.check(req, 0.0) == Unrestricted()
     assert daemon.ends(req, 1.0) is None
-    assert daemon.judge(req, 1.0) == Suspect(alone=False)
+    assert daemon.check(req, 1.0) == Suspect(isolated=False)
     assert daemon.ends(req, 1.2, first=1) is None
-    assert daemon.judge(req, 1.2) == Suspect(alone=True)
+    assert daemon.check(req, 1.2) == Suspect(isolated=True)
     ref, block = daemon.ends(req, 1.4, first=2)
     assert ref == BlockRef(req.content, req.caller_tag)
-    assert daemon.judge(req, 1.4) == Barred(ref, block, blocks.FIRST_TRIAL_S)
+    assert daemon.check(req, 1.4) == Quarantined(ref, block, blocks.FIRST_TRIAL_S)
 
 
 def test_a_rack_that_is_lost_blames_nobody(daemon):
@@ -89,7 +89,7 @@
     """
     req = request()
     assert daemon.ends(req, *(1.0 + 0.005 * n for n in range(10))) is None
-    assert daemon.judge(req, 1.1) == Suspect(alone=False)
+    assert daemon.check(req, 1.1) == Suspect(isolated=False)
 
 
 def test_an_answer_clears_a_request(daemon):
@@ -100,9 +100,9 @@
     req = request()
     daemon.ends(req, 1.0, 1.2)
     daemon.answer(req, 1.3)
-    assert daemon.judge(req, 1.3) == Free()
+    assert daemon.check(req, 1.3) == Unrestricted()
     # An end that began before the answer is heard of late: it counts no more.
-    assert not daemon.quarantine.note_end(req.content, end(5, 1.25, req), 1.4)
+    assert not daemon.quarantine.note_crash(req.content, end(5, 1.25, req), 1.4)
     assert daemon.ends(req, 1.6, 1.8, first=10) is None
 
 
@@ -122,17 +122,17 @@
             break
         if rng.random() < 0.02 * 30 / 4 * 0.66:
             blocked += daemon.ends(req, now, first=number) is not None
-        elif daemon.quarantine.is_held(req):
+        elif daemon.quarantine.is_suspected(req):
             daemon.answer(req, now)
-        assert not isinstance(daemon.judge(req, now), Barred)
+        assert not isinstance(daemon.check(req, now), Quarantined)
     assert blocked == 0
 
 
 def test_ends_under_one_request_hold_for_its_caller_alone(daemon):
     req, other = request(caller="10.0.0.1"), request(caller="10.0.0.2")
     daemon.ends(req, 1.0, 1.2, 1.4)
-    assert isinstance(daemon.judge(req, 1.5), Barred)
-    assert daemon.judge(other, 1.5) == Free()
+    assert isinstance(daemon.check(req, 1.5), Quarantined)
+    assert daemon.check(other, 1.5) == Unrestricted()
 
 
 def test_the_same_request_of_many_callers_is_blocked_for_all(daemon):
@@ -140,8 +140,8 @@
     callers = [request(caller=f"10.0.0.{n}") for n in range(4)]
     found = [daemon.ends(req, 1.0 + n, first=n) for n, req in enumerate(callers)]
     assert found[:2] == [None, None]
-    assert found[2][0] == BlockRef(callers[0].content, EVERYBODY)
-    assert isinstance(daemon.judge(request(caller="10.9.9.9"), 5.0), Barred)
+    assert found[2][0] == BlockRef(callers[0].content, ALL_CALLERS)
+    assert isinstance(daemon.check(request(caller="10.9.9.9"), 5.0), Quarantined)
 
 
 def test_a_request_that_some_callers_have_answered_is_not_blocked_for_all(daemon):
@@ -151,14 +151,14 @@
     daemon.answer(well, 1.5)
     ref, _ = daemon.ends(sick, 1.7, first=3)
     assert ref.scope == sick.caller_tag
-    assert daemon.judge(well, 1.8) == Free()
+    assert daemon.check(well, 1.8) == Unrestricted()
 
 
 def test_the_same_end_seen_by_several_daemons_counts_once(daemon):
     req = request()
     for _ in range(5):
-        daemon.quarantine.note_end(req.content, end(1, 1.0, req), 1.0)
-    assert daemon.judge(req, 1.0) == Suspect(alone=False)
+        daemon.quarantine.note_crash(req.content, end(1, 1.0, req), 1.0)
+    assert daemon.check(req, 1.0) == Suspect(isolated=False)
 
 
 def test_a_target_that_ends_again_under_its_name_counts_again(daemon):
@@ -167,8 +167,8 @@
     found = None
     for number in range(3):
         at = 1.0 + 5.0 * number
-        daemon.quarantine.note_end(req.content, end("a", at, req), at)
-        found = daemon.quarantine.blame(req.content, at)
+        daemon.quarantine.note_crash(req.content, end("a", at, req), at)
+        found = daemon.quarantine.block_if_proven(req.content, at)
     assert found
 
 
@@ -178,7 +178,12 @@
     assert daemon.ends(req, 0.0, 180.0) is None
     assert daemon.ends(req, 360.0, first=2) is not None
     slow = request("/s/slow")
-    assert daemon.ends(slow, 0.0, module.MEMORY_S, 2 * module.MEMORY_S) is None
+    assert (
+        daemon.ends(
+            slow, 0.0, module.EVIDENCE_RETENTION_S, 2 * module.EVIDENCE_RETENTION_S
+        )
+        is None
+    )
 
 
 # -- what makes a request the same ------------------------------------------------
@@ -195,14 +200,14 @@
 )
 def test_another_host_path_method_or_body_is_another_request(daemon, other):
     daemon.ends(request(), 1.0, 1.2, 1.4)
-    assert daemon.judge(other, 1.5) == Free()
+    assert daemon.check(other, 1.5) == Unrestricted()
 
 
 def test_bodies_of_one_length_are_told_apart(daemon):
     one, two = request(body=b"a" * 5000), request(body=b"b" * 5000)
     daemon.ends(one, 1.0, 1.2, 1.4)
-    assert isinstance(daemon.judge(one, 1.5), Barred)
-    assert daemon.judge(two, 1.5) == Free()
+    assert isinstance(daemon.check(one, 1.5), Quarantined)
+    assert daemon.check(two, 1.5) == Unrestricted()
 
 
 def test_a_large_body_is_digested_only_if_its_head_is_known(daemon, monkeypatch):
@@ -216,13 +221,13 @@
 
     monkeypatch.setattr(identity_module.hashlib, "blake2b", spy)
     body = b"x" * 1_000_000
-    assert daemon.judge(request(body=body), 0.0) == Free()
+    assert daemon.check(request(body=body), 0.0) == Unrestricted()
     assert digested == []
     daemon.ends(request("/s/other"), 1.0)
-    assert daemon.judge(request(body=body), 1.0) == Free()
+    assert daemon.check(request(body=body), 1.0) == Unrestricted()
     assert len(body) not in digested
     daemon.ends(request(body=body), 1.0)
-    assert daemon.judge(request(body=body), 1.0) != Free()
+    assert daemon.check(request(body=body), 1.0) != Unrestricted()
     assert len(body) in digested
 
 
@@ -235,13 +240,13 @@
     waits = []
     for trials in range(5):
         waits.append(block.next_trial - block.at)
-        verdict = daemon.judge(req, block.next_trial)
-        assert verdict == Barred(ref, block, 0.0)
+        verdict = daemon.check(req, block.next_trial)
+        assert verdict == Quarantined(ref, block, 0.0)
         block = attrs.evolve(block, trials=trials + 1)
-        assert daemon.quarantine.take_block(*ref_parts(ref), block)
+        assert daemon.quarantine.apply_block(*ref_parts(ref), block)
     assert waits == [20, 100, 420, 1700, 5300]
     assert daemon.answer(req, 6000.0) == [ref]
-    assert daemon.judge(req, 6000.0) == Free()
+    assert daemon.check(req, 6000.0) == Unrestricted()
 
 
 def ref_parts(ref):
@@ -252,9 +257,9 @@
     req = request()
     _, block = daemon.ends(req, 1.0, 1.2, 1.4)
     late = block.next_trial + blocks.FORGET_S
-    assert isinstance(daemon.judge(req, late - 1), Barred)
-    assert daemon.judge(req, late) == Free()
-    daemon.quarantine.drop_lapsed(late)
+    assert isinstance(daemon.check(req, late - 1), Quarantined)
+    assert daemon.check(req, late) == Unrestricted()
+    daemon.quarantine.drop_expired(late)
     assert len(daemon.quarantine) == 0
 
 
@@ -266,9 +271,9 @@
     """
     req = request()
     ref, block = daemon.ends(req, 1.0, 1.2, 1.4)
-    daemon.quarantine.clear(req.content, EVERYBODY, 30.0)
-    assert not daemon.quarantine.take_block(*ref_parts(ref), block)
-    assert daemon.judge(req, 31.0) == Free()
+    daemon.quarantine.clear(req.content, ALL_CALLERS, 30.0)
+    assert not daemon.quarantine.apply_block(*ref_parts(ref), block)
+    assert daemon.check(req, 31.0) == Unrestricted()
 
 
 # -- bounds -------------------------------------------------------------------------
@@ -280,13 +285,13 @@
     for number in range(3 * module.MAX_CASES):
         daemon.ends(request(f"/s/{number}"), 2.0 + number / 1000)
     assert len(daemon.quarantine) == module.MAX_CASES
-    assert isinstance(daemon.judge(blocked, 9.0), Barred)
+    assert isinstance(daemon.check(blocked, 9.0), Quarantined)
     many = request("/s/many")
     daemon.ends(many, *(10.0 + 0.01 * n for n in range(100)))
     for number in range(100):
         req = request("/s/many", caller=f"c{number}")
         daemon.quarantine.clear(req.content, req.caller_tag, 11.0 + number)
-    daemon.quarantine.drop_lapsed(module.MEMORY_S + 200)
+    daemon.quarantine.drop_expired(module.EVIDENCE_RETENTION_S + 200)
     assert len(daemon.quarantine) <= 2
 
 
@@ -321,12 +326,15 @@
             req = request(caller=caller)
             if kind == "end":
                 number = f"{at} {caller}"
-                daemon.quarantine.note_end(req.content, end(number, at, req), 41.0)
-                daemon.quarantine.blame(req.content, 41.0)
+                daemon.quarantine.note_crash(req.content, end(number, at, req), 41.0)
+                daemon.quarantine.block_if_proven(req.content, 41.0)
             else:
                 daemon.answer(req, at)
         verdicts.append(
-            [isinstance(daemon.judge(request(caller=c), 41.0), Barred) for c in "ab"]
+            [
+                isinstance(daemon.check(request(caller=c), 41.0), Quarantined)
+                for c in "ab"
+            ]
         )
     assert verdicts[0] == verdicts[1]
 
@@ -364,9 +372,11 @@
         if answered_first:
             daemon.answer(a, at)
         for number, (req, ended) in enumerate(told):
-            daemon.quarantine.note_end(req.content, end(number, ended, req), 41.0)
-            daemon.quarantine.blame(req.content, 41.0)
+            daemon.quarantine.note_crash(req.content, end(number, ended, req), 41.0)
+            daemon.quarantine.block_if_proven(req.content, 41.0)
         if not answered_first:
             daemon.answer(a, at)
-        verdicts.append([isinstance(daemon.judge(r, 41.0), Barred) for r in (a, b)])
+        verdicts.append(
+            [isinstance(daemon.check(r, 41.0), Quarantined) for r in (a, b)]
+        )
     return verdicts
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -1,20 +1,20 @@
 """Targets that hang, and requests that are sent a second time for it."""
 
 from cairnferry.policy import (
-    Ask,
     AttemptKind,
     Call,
+    CheckStatus,
     LoadReport,
     Send,
 )
 
-from ._asking import (
+from ._status_checks import (
     call,
+    decide,
     in_flight,
-    learned,
     near,
     policy_of,
-    settle,
+    train_route,
 )
 
 
@@ -24,7 +24,7 @@
     Cause: each of them asked it, and waited for its answer.
     """
     policy = policy_of(*near(4))
-    settle(policy, call(), n0=None)
+    decide(policy, call(), n0=None)
     decision = policy.arrive(call(now=1.1), 1.1)
     assert "n0" not in [record.name for record in decision.targets]
     decision = policy.arrive(call(now=1.4), 1.4)
@@ -38,7 +38,7 @@
     told that the answer would not come.
     """
     policy = policy_of(*near(4))
-    learned(policy, "r", 0.1)
+    train_route(policy, "r", 0.1)
     attempt = in_flight(policy, 2.0)
     assert policy.hedge(attempt.call, 2.05) is None
     ask = policy.hedge(attempt.call, 2.2)
@@ -52,31 +52,31 @@
 
 def test_a_request_that_is_only_slow_is_left_alone():
     policy = policy_of(*near(4))
-    learned(policy, "r", 0.1)
+    train_route(policy, "r", 0.1)
     attempt = in_flight(policy, 2.0)
-    assert isinstance(policy.hedge(attempt.call, 2.2), Ask)
+    assert isinstance(policy.hedge(attempt.call, 2.2), CheckStatus)
     policy.note_check(attempt.target_name, LoadReport(1), True, 2.21)
     assert policy.hedge(attempt.call, 2.22) is None
 
 
 def test_a_request_that_takes_far_too_long_is_sent_again_all_the_same():
     policy = policy_of(*near(4))
-    learned(policy, "r", 0.1)
+    train_route(policy, "r", 0.1)
     attempt = in_flight(policy, 2.0)
     assert isinstance(policy.hedge(attempt.call, 2.6), Send)
 
 
 def test_an_order_is_never_sent_again_because_it_is_slow():
     policy = policy_of(*near(4))
-    learned(policy, "r", 0.1)
+    train_route(policy, "r", 0.1)
     req = Call(arrived=2.0, deadline=9.0, idempotent=False, route="r")
-    settle(policy, req, now=2.0)
+    decide(policy, req, now=2.0)
     assert policy.hedge(req, 8.0) is None
 
 
 def test_hedges_keep_to_the_budget_of_retries():
     policy = policy_of(*near(30))
-    learned(policy, "r", 0.1)
+    train_route(policy, "r", 0.1)
     hedges = 0
     for index in range(60):
         now = 2.0 + index / 100
--- a/tests/policy/test_service.py
+++ b/tests/policy/test_service.py
@@ -5,9 +5,9 @@
 from hypothesis import strategies as st
 
 from cairnferry.policy import (
-    Abandoned,
     Answered,
     AttemptKind,
+    AwaitOthers,
     Cause,
     GiveUp,
     LoadReport,
@@ -101,7 +101,7 @@
     first = send(policy, now)
     hedge = policy.hedge(first.call, now).attempt
     assert hedge.kind is AttemptKind.HEDGE
-    assert policy.finished(first, Lost(), now) == Abandoned()
+    assert policy.finished(first, Lost(), now) == AwaitOthers()
     assert policy.finished(hedge, Answered(), now) == Relay()
 
 
@@ -116,7 +116,7 @@
     for _ in range(3):
         attempt = send(policy, now)
         stuck = state(policy)
-        attempt.target.note_ended(attempt.started)
+        attempt.target.note_finished(attempt.started)
         attempt.target = stuck
         stuck.note_sent(attempt.started)
         policy.cancelled(attempt, now + 1)
@@ -291,7 +291,7 @@
     for _ in range(100):
         now += 1
         attempt = send(policy, now)
-        policy._targets._chooser.usual_others = 0.0
+        policy._targets._chooser.mean_others_load = 0.0
         policy.finished(attempt, Answered(report=LoadReport(9)), now + 0.005)
     assert policy._room._window.limit == policy._room._window.minimum
     cut = policy._room._window.limit
--- a/tests/policy/usable/test_evacuation.py
+++ b/tests/policy/usable/test_evacuation.py
@@ -10,8 +10,16 @@
     Refuse,
     Send,
 )
-from policy._asking import call, earned, ejected, far, near, policy_of, settle
 from policy._helpers import make_call, make_policy, make_target, state
+from policy._status_checks import (
+    call,
+    decide,
+    ejected,
+    far,
+    near,
+    policy_of,
+    with_retry_tokens,
+)
 
 NEAR = frozenset(["near"])
 
@@ -21,19 +29,19 @@
     policy.evacuate(NEAR)
     for number in range(10):
         now = 1.0 + number
-        decision, rounds = settle(policy, call(now=now), now=now)
+        decision, rounds = decide(policy, call(now=now), now=now)
         asked = {name for names in rounds for name in names}
         assert {name[0] for name in asked | {decision.attempt.target_name}} == {"f"}
         policy.finished(decision.attempt, Answered(), now + 0.05)
     policy.evacuate(frozenset())
-    decision, _ = settle(policy, call(now=20.0), now=20.0)
+    decision, _ = decide(policy, call(now=20.0), now=20.0)
     assert decision.attempt.target_name.startswith("n")
 
 
 def test_with_all_zones_evacuated_requests_are_refused_at_once():
     policy = policy_of(*near(3), *far(3))
     policy.evacuate(frozenset(["near", "far"]))
-    decision, rounds = settle(policy, call())
+    decision, rounds = decide(policy, call())
     assert decision == Refuse(Cause.EVACUATED, decision.retry_after)
     assert rounds == []
 
@@ -50,15 +58,15 @@
 
 def test_a_repeat_of_a_lost_request_does_not_go_there():
     """Guards against a second attempt at a zone that was evacuated meanwhile."""
-    policy = earned(policy_of(*near(2), *far(1)))
-    decision, _ = settle(policy, call())
+    policy = with_retry_tokens(policy_of(*near(2), *far(1)))
+    decision, _ = decide(policy, call())
     policy.evacuate(NEAR)
     after = policy.finished(decision.attempt, Lost(broken=True), 1.1)
     while not isinstance(after, Send | Refuse):
         for record in after.targets:
             assert record.zone == "far"
             policy.note_check(record.name, None, False, 1.1)
-        after = policy.asked(decision.attempt.call, 1.1)
+        after = policy.resume(decision.attempt.call, 1.1)
     assert after.attempt.target_name == "f0"
 
 
@@ -81,7 +89,7 @@
 def test_a_zone_without_targets_changes_nothing(zones):
     policy = policy_of(*near(3))
     policy.evacuate(zones)
-    assert settle(policy, call())[0].attempt.target_name in ("n0", "n1", "n2")
+    assert decide(policy, call())[0].attempt.target_name in ("n0", "n1", "n2")
 
 
 def test_the_reason_is_shown():
@@ -97,5 +105,5 @@
     """Guards against a trial at a target that is out of use for another reason too."""
     policy = ejected(policy_of(*near(3)))
     policy.note_draining("n0", DrainSource.PLATFORM, 60.0)
-    decision, _ = settle(policy, call(now=9.0), now=9.0)
+    decision, _ = decide(policy, call(now=9.0), now=9.0)
     assert decision.attempt.target_name != "n0"
--- a/tests/policy/usable/test_leaving.py
+++ b/tests/policy/usable/test_leaving.py
@@ -3,34 +3,34 @@
 import math
 
 from cairnferry.policy import (
+    AdvisoryRegistry,
     Answered,
     Cause,
     Refuse,
     Send,
-    TargetHolds,
-    TargetWords,
+    TargetAdvisory,
 )
-from policy._asking import (
+from policy._status_checks import (
     SERVICE,
     call,
-    made_anew,
+    decide,
     near,
     policy_of,
-    settle,
+    recreated_policy,
     target,
 )
 
-FOR_GOOD = TargetWords(leaving_s=math.inf)
+FOR_GOOD = TargetAdvisory(leaving_s=math.inf)
 
 
 def leave(policy, name, now=1.0, words=FOR_GOOD):
-    policy.note_words(name, words, now)
+    policy.note_advisory(name, words, now)
 
 
 def chosen(policy, now, count=12):
     names = set()
     for _ in range(count):
-        decision, _ = settle(policy, call(now=now), now=now)
+        decision, _ = decide(policy, call(now=now), now=now)
         if isinstance(decision, Send):
             names.add(decision.attempt.target_name)
     return names
@@ -39,7 +39,7 @@
 def test_it_gets_nothing_more_however_well_it_answers():
     """Guards against an answer, a check or a report that takes the word back."""
     policy = policy_of(*near(2))
-    decision, _ = settle(policy, call())
+    decision, _ = decide(policy, call())
     leave(policy, decision.attempt.target_name)
     policy.finished(decision.attempt, Answered(), 1.1)
     policy.note_probe(decision.attempt.target_name, True, 1.2)
@@ -61,9 +61,9 @@
 
 
 def test_a_service_that_is_dropped_and_back_remembers_it():
-    holds = TargetHolds()
-    leave(made_anew(*near(2), holds=holds, now=1.0), "n0")
-    policy = made_anew(*near(2), holds=holds, now=1.5)
+    advisories = AdvisoryRegistry()
+    leave(recreated_policy(*near(2), advisories=advisories, now=1.0), "n0")
+    policy = recreated_policy(*near(2), advisories=advisories, now=1.5)
     assert "n0" not in chosen(policy, 1.6)
 
 
@@ -79,7 +79,7 @@
 def test_where_starts_have_no_names_the_word_lapses():
     """Guards against a target that is never used again under its name."""
     policy = policy_of(*near(2))
-    leave(policy, "n0", words=TargetWords(leaving_s=30.0))
+    leave(policy, "n0", words=TargetAdvisory(leaving_s=30.0))
     assert "n0" not in chosen(policy, 30.9)
     assert "n0" in chosen(policy, 31.1)
 
@@ -87,7 +87,7 @@
 def test_what_it_has_in_hand_is_answered_and_its_end_is_none_under_requests():
     """Guards against a target that leaves being taken for one that crashed."""
     policy = policy_of(*near(1))
-    decision, _ = settle(policy, call())
+    decision, _ = decide(policy, call())
     leave(policy, "n0")
     assert decision.attempt.target.is_draining(1.1)
     policy.finished(decision.attempt, Answered(), 1.2)
@@ -105,8 +105,8 @@
 
 def test_it_is_told_once():
     policy = policy_of(*near(2))
-    policy.note_words("n0", FOR_GOOD, 1.0, heard_by="req-1")
-    policy.note_words("n0", FOR_GOOD, 2.0, heard_by="req-2")
+    policy.note_advisory("n0", FOR_GOOD, 1.0, heard_by="req-1")
+    policy.note_advisory("n0", FOR_GOOD, 2.0, heard_by="req-2")
     (event,) = policy.take_events()
-    assert (event.target, str(event.belief)) == ("n0", "is leaving")
+    assert (event.target, str(event.condition)) == ("n0", "is leaving")
     assert event.inputs == {"heard_by": "req-1"}
--- a/tests/policy/usable/test_limited_targets.py
+++ b/tests/policy/usable/test_limited_targets.py
@@ -5,12 +5,12 @@
 import pytest
 
 from cairnferry.policy import (
+    AdvertisedLimit,
     Answered,
-    Ask,
     AttemptKind,
     Cause,
+    CheckStatus,
     LoadReport,
-    NamedLimit,
     Pause,
     Permit,
     Refuse,
@@ -18,13 +18,13 @@
     TargetRefused,
     Wait,
 )
-from policy._asking import call, far, learned, near, policy_of, settle
 from policy._helpers import make_call, make_policy
+from policy._status_checks import call, decide, far, near, policy_of, train_route
 
 
 def limit(policy, *names, per_s=2.0):
     for name in names:
-        policy.limits.book.hear(name, NamedLimit(per_s, 0.0))
+        policy.limits.advertised.receive(name, AdvertisedLimit(per_s, 0.0))
 
 
 def permit(policy, name, start=0.0, end=100.0, count=1):
@@ -37,7 +37,7 @@
     limit(policy, "n0", "n1")
     for number in range(20):
         now = 1.0 + number
-        decision, rounds = settle(policy, call(now=now), now=now)
+        decision, rounds = decide(policy, call(now=now), now=now)
         assert decision.attempt.target_name == "n2"
         assert rounds in ([["n2"]], [])
         policy.finished(decision.attempt, Answered(), now + 0.05)
@@ -48,10 +48,10 @@
     policy = policy_of(*near(12))
     limit(policy, "n7")
     permit(policy, "n7")
-    decision, rounds = settle(policy, call())
+    decision, rounds = decide(policy, call())
     assert rounds[0][0] == "n7"
     assert decision.attempt.target_name == "n7"
-    decision, _ = settle(policy, call(now=1.5), now=1.5)
+    decision, _ = decide(policy, call(now=1.5), now=1.5)
     assert decision.attempt.target_name != "n7"
 
 
@@ -59,7 +59,7 @@
     policy = policy_of(*near(3))
     limit(policy, "n0")
     permit(policy, "n0")
-    decision, _ = settle(policy, call(), n0=LoadReport(0, 4.0))
+    decision, _ = decide(policy, call(), n0=LoadReport(0, 4.0))
     assert decision.attempt.target_name != "n0"
     assert policy.limits.held("n0") == 1
 
@@ -68,11 +68,11 @@
     policy = policy_of(*near(2), *far(1))
     limit(policy, "n0", "n1", "f0")
     permit(policy, "n1", start=1.4)
-    decision, rounds = settle(policy, call(objective=1.9))
+    decision, rounds = decide(policy, call(objective=1.9))
     assert rounds == []
     assert decision.cause is Cause.TARGET_LIMIT
     assert decision.retry_after == pytest.approx(0.4)
-    decision, _ = settle(policy, call(now=1.4, objective=1.9), now=1.4)
+    decision, _ = decide(policy, call(now=1.4, objective=1.9), now=1.4)
     assert isinstance(decision, Send)
 
 
@@ -86,12 +86,12 @@
     limit(policy, "n0")
     permit(policy, "n0", start=1.03)
     req = call(objective=1.4)
-    decision, _ = settle(policy, req)
+    decision, _ = decide(policy, req)
     assert decision == Pause(pytest.approx(0.03))
-    again = policy.asked(req, 1.03)
-    assert isinstance(again, Ask)
+    again = policy.resume(req, 1.03)
+    assert isinstance(again, CheckStatus)
     policy.note_check("n0", LoadReport(0), True, 1.031)
-    assert isinstance(policy.asked(req, 1.031), Send)
+    assert isinstance(policy.resume(req, 1.031), Send)
 
 
 def test_a_request_does_not_wait_for_what_others_take_first():
@@ -99,12 +99,12 @@
     limit(policy, "n0")
     permit(policy, "n0", start=1.03)
     first, second = call(), call()
-    settle(policy, first)
-    settle(policy, second)
-    assert isinstance(policy.asked(first, 1.03), Ask)
+    decide(policy, first)
+    decide(policy, second)
+    assert isinstance(policy.resume(first, 1.03), CheckStatus)
     policy.note_check("n0", LoadReport(0), True, 1.031)
-    assert isinstance(policy.asked(first, 1.031), Send)
-    decision = policy.asked(second, 1.031)
+    assert isinstance(policy.resume(first, 1.031), Send)
+    decision = policy.resume(second, 1.031)
     assert decision.cause is Cause.TARGET_LIMIT
 
 
@@ -112,7 +112,7 @@
     policy = policy_of(*near(1))
     limit(policy, "n0")
     permit(policy, "n0", start=1.08)
-    decision, _ = settle(policy, call(objective=1.05))
+    decision, _ = decide(policy, call(objective=1.05))
     assert decision.cause is Cause.TARGET_LIMIT
 
 
@@ -120,7 +120,7 @@
     policy = policy_of(*near(2))
     limit(policy, "n0", "n1")
     permit(policy, "n0")
-    decision, _ = settle(policy, call())
+    decision, _ = decide(policy, call())
     decision = policy.finished(decision.attempt, TargetRefused(), 1.1)
     assert decision == Refuse(Cause.OVERLOAD, decision.retry_after)
     assert policy.limits.sent == {"n0": 1}
@@ -128,12 +128,12 @@
 
 def test_a_hedge_needs_a_permit_of_its_own():
     policy = policy_of(*near(2))
-    learned(policy, "r", 0.1)
+    train_route(policy, "r", 0.1)
     limit(policy, "n0", "n1")
     permit(policy, "n0")
-    decision, _ = settle(policy, call(now=2.0, route="r"), now=2.0)
+    decision, _ = decide(policy, call(now=2.0, route="r"), now=2.0)
     attempt = decision.attempt
-    assert isinstance(policy.hedge(attempt.call, 2.2), Ask)
+    assert isinstance(policy.hedge(attempt.call, 2.2), CheckStatus)
     policy.note_check(attempt.target_name, None, False, 2.21)
     assert policy.hedge(attempt.call, 2.23) is None
     permit(policy, "n1")
@@ -148,13 +148,13 @@
     limit(policy, "n0")
     for number in range(50):
         now = 1.0 + number * 0.1
-        decision, _ = settle(policy, call(now=now), now=now)
+        decision, _ = decide(policy, call(now=now), now=now)
         policy.finished(decision.attempt, Answered(), now + 0.05)
-    policy.limits.book.hear("n0", NamedLimit(float("inf"), 7.0))
+    policy.limits.advertised.receive("n0", AdvertisedLimit(float("inf"), 7.0))
     chosen = set()
     for number in range(10):
         now = 10.0 + number
-        decision, _ = settle(policy, call(now=now), now=now)
+        decision, _ = decide(policy, call(now=now), now=now)
         chosen.add(decision.attempt.target_name)
     assert "n0" in chosen
     assert policy.take_events() == []
@@ -166,7 +166,7 @@
 
 
 def wanted(policy, now=1.0, barred=()):
-    found = policy.permits_wanted(barred, now)
+    found = policy.permits_to_request(barred, now)
     return {each.target.name: each.count for each in found}
 
 
@@ -199,7 +199,7 @@
     arrive(policy, 3)
     assert wanted(policy) == {}
     limit(policy, "n0", "n1")
-    decision, _ = settle(policy, call())
+    decision, _ = decide(policy, call())
     assert decision.cause is Cause.TARGET_LIMIT
     assert {"f0", "f1"} <= wanted(policy).keys()
 
@@ -235,10 +235,10 @@
     policy = policy_of(*near(1))
     urgent_and_other(policy)
     limit(policy, "n0")
-    policy.limits.take_in("n0", [1.0])
-    lookup, _ = settle(policy, call(now=1.02, route="lookups", rank=2), now=1.02)
+    policy.limits.add_permits("n0", [1.0])
+    lookup, _ = decide(policy, call(now=1.02, route="lookups", rank=2), now=1.02)
     assert isinstance(lookup, Pause)
-    order, _ = settle(policy, call(now=1.05, route="orders", rank=1), now=1.05)
+    order, _ = decide(policy, call(now=1.05, route="orders", rank=1), now=1.05)
     assert isinstance(order, Send)
 
 
@@ -246,8 +246,8 @@
     policy = policy_of(*near(1))
     urgent_and_other(policy)
     limit(policy, "n0")
-    policy.limits.take_in("n0", [1.0])
-    lookup, _ = settle(policy, call(now=1.2, route="lookups", rank=2), now=1.2)
+    policy.limits.add_permits("n0", [1.0])
+    lookup, _ = decide(policy, call(now=1.2, route="lookups", rank=2), now=1.2)
     assert isinstance(lookup, Send)
 
 
@@ -258,9 +258,9 @@
     served = 0
     for number in range(30):
         now = 1.0 + 0.1 * number
-        policy.limits.take_in("n0", [now])
-        lookup, _ = settle(policy, call(now=now, route="lookups", rank=2), now=now)
-        order, _ = settle(policy, call(now=now, route="orders", rank=1), now=now)
+        policy.limits.add_permits("n0", [now])
+        lookup, _ = decide(policy, call(now=now, route="lookups", rank=2), now=now)
+        order, _ = decide(policy, call(now=now, route="orders", rank=1), now=now)
         served += isinstance(lookup, Send)
         for decision in (lookup, order):
             if isinstance(decision, Send):
@@ -272,8 +272,8 @@
     policy = policy_of(*near(2))
     urgent_and_other(policy)
     limit(policy, "n0")
-    policy.limits.take_in("n0", [1.0])
-    lookup, _ = settle(policy, call(now=1.0, route="lookups", rank=2), now=1.0)
+    policy.limits.add_permits("n0", [1.0])
+    lookup, _ = decide(policy, call(now=1.0, route="lookups", rank=2), now=1.0)
     assert lookup.attempt.target_name == "n0"
 
 
@@ -286,7 +286,7 @@
     bad = None
     for number in range(40):
         now = 1.0 + 0.1 * number
-        decision, _ = settle(policy, call(now=now), now=now)
+        decision, _ = decide(policy, call(now=now), now=now)
         bad = bad or decision.attempt.target_name
         failed = decision.attempt.target_name == bad
         policy.finished(decision.attempt, Answered(failed=failed), now + 0.01)
@@ -294,13 +294,13 @@
     limit(policy, bad)
     arrive(policy, 3, now=20.0)
     assert wanted(policy, now=20.0) == {bad: 1}
-    policy.limits.take_in(bad, [20.0])
-    decision, _ = settle(policy, call(now=20.1), now=20.1)
+    policy.limits.add_permits(bad, [20.0])
+    decision, _ = decide(policy, call(now=20.1), now=20.1)
     assert decision.attempt.target_name == bad
     assert decision.attempt.trial
     policy.finished(decision.attempt, Answered(), 20.2)
-    policy.limits.take_in(bad, [20.2])
-    decision, _ = settle(policy, call(now=20.3), now=20.3)
+    policy.limits.add_permits(bad, [20.2])
+    decision, _ = decide(policy, call(now=20.3), now=20.3)
     assert decision.attempt.target_name == bad
     assert not decision.attempt.trial
 
@@ -309,9 +309,9 @@
     policy = policy_of(*near(1))
     urgent_and_other(policy)
     limit(policy, "n0")
-    policy.limits.take_in("n0", [1.0, 1.0, 1.0])
+    policy.limits.add_permits("n0", [1.0, 1.0, 1.0])
     for _ in range(2):
-        order, _ = settle(policy, call(route="orders", rank=1))
+        order, _ = decide(policy, call(route="orders", rank=1))
         assert isinstance(order, Send)
-    lookup, _ = settle(policy, call(route="lookups", rank=2))
+    lookup, _ = decide(policy, call(route="lookups", rank=2))
     assert isinstance(lookup, Send)
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -2,14 +2,23 @@
 
 import pytest
 
-from cairnferry.settings import Address, Key, Sort, describe, read_settings
+from cairnferry.settings import Address, Key, ValueType, format_key_table, read_settings
 
 KEYS = (
-    Key("a", "name", Sort.NAME, "name"),
-    Key("a", "listen", Sort.ADDRESS, "address"),
-    Key("b", "wait", Sort.NUMBER, "time", default=1.5, unit="s", minimum=0, maximum=9),
-    Key("b", "on", Sort.BOOLEAN, "switch", default=False),
-    Key("b", "path", Sort.PATH, "file", optional=True),
+    Key("a", "name", ValueType.NAME, "name"),
+    Key("a", "listen", ValueType.ADDRESS, "address"),
+    Key(
+        "b",
+        "wait",
+        ValueType.NUMBER,
+        "time",
+        default=1.5,
+        unit="s",
+        minimum=0,
+        maximum=9,
+    ),
+    Key("b", "on", ValueType.BOOLEAN, "switch", default=False),
+    Key("b", "path", ValueType.PATH, "file", optional=True),
 )
 
 
@@ -68,6 +77,6 @@
 
 
 def test_the_table_of_keys_has_a_row_for_each():
-    rows = describe(KEYS).splitlines()
+    rows = format_key_table(KEYS).splitlines()
     assert len(rows) == 2 + len(KEYS)
     assert "| b | wait | number | s | 1.5 | 0 to 9 | time |" in rows
--- a/tests/wire/test_exchange.py
+++ b/tests/wire/test_exchange.py
@@ -151,19 +151,19 @@
     target = start_target()
     pool = ConnectionPool(("127.0.0.1", target.port))
     ours, theirs = socket.socketpair()
-    pool.give(Connection(ours, pool.address))
+    pool.release(Connection(ours, pool.address))
     theirs.close()
-    conn = pool.take(idempotent=True, timeout=1)
+    conn = pool.acquire(idempotent=True, timeout=1)
     assert conn.sock is not ours
     assert pool.opened == 1
 
 
 def test_a_non_idempotent_request_gets_no_connection_that_idled_long(start_target):
     pool = ConnectionPool(("127.0.0.1", start_target().port), trusted_idle_s=1)
-    old = pool.take(idempotent=True, timeout=1)
+    old = pool.acquire(idempotent=True, timeout=1)
     old.idle_since = time.monotonic() - 2
-    pool.give(old)
-    assert pool.take(idempotent=False, timeout=1) is not old
+    pool.release(old)
+    assert pool.acquire(idempotent=False, timeout=1) is not old
 
 
 def test_a_connection_too_old_for_an_order_is_kept_for_a_read(start_target):
@@ -173,22 +173,22 @@
     although idempotent ones could use them.
     """
     pool = ConnectionPool(("127.0.0.1", start_target().port), trusted_idle_s=1)
-    old = pool.take(idempotent=True, timeout=1)
+    old = pool.acquire(idempotent=True, timeout=1)
     old.idle_since = time.monotonic() - 2
-    pool.give(old)
-    pool.take(idempotent=False, timeout=1)
-    assert pool.take(idempotent=True, timeout=1) is old
+    pool.release(old)
+    pool.acquire(idempotent=False, timeout=1)
+    assert pool.acquire(idempotent=True, timeout=1) is old
 
 
 def test_a_connection_is_not_used_near_the_time_at_which_it_will_be_closed(
     start_target,
 ):
     pool = ConnectionPool(("127.0.0.1", start_target().port))
-    conn = pool.take(idempotent=True, timeout=1)
+    conn = pool.acquire(idempotent=True, timeout=1)
     conn.idle_limit = 5.0
     conn.idle_since = time.monotonic() - 4.9
-    pool.give(conn)
-    assert pool.take(idempotent=True, timeout=1) is not conn
+    pool.release(conn)
+    assert pool.acquire(idempotent=True, timeout=1) is not conn
 
 
 @pytest.mark.parametrize(
