--- a/packages/policy/src/cairnferry/policy/__init__.py
+++ b/packages/policy/src/cairnferry/policy/__init__.py
@@ -1,16 +1,16 @@
-"""Decisions about requests: where each goes, when it waits, what follows.
+"""Routing, queueing, retry and hedging decisions for requests.
 
 The library opens no socket, reads no clock and holds no global state. A driver
-tells it what happens, with the time, and does what the decisions say:
+reports each event with its time, and carries out the decision that is returned:
 
 - a request arrives: `ServicePolicy.arrive`;
 - an attempt ended: `ServicePolicy.finished`;
-- the caller went away: `ServicePolicy.abandon`;
-- time passed or room came up: `ServicePolicy.release`;
-- something else was learnt of a target: `ServicePolicy.note_advisory`,
+- the caller disconnected: `ServicePolicy.abandon`;
+- time passed or capacity became free: `ServicePolicy.release`;
+- a target's state changed: `ServicePolicy.note_advisory`,
   `ServicePolicy.note_draining`, `ServicePolicy.note_probe`.
 
-All times are monotonic seconds of one clock.
+All times are in seconds of one monotonic clock.
 """
 
 from cairnferry.policy._service import ServicePolicy
--- a/packages/policy/src/cairnferry/policy/_attempts.py
+++ b/packages/policy/src/cairnferry/policy/_attempts.py
@@ -1,8 +1,8 @@
-"""Attempts of one service: where they go, and what they hold meanwhile."""
+"""Start and end of the attempts of one service, and the capacity that they use."""
 
 import attrs
 
-from cairnferry.policy.admission import Room
+from cairnferry.policy.admission import Capacity
 from cairnferry.policy.choice import WorkEstimates
 from cairnferry.policy.requests import Attempt, AttemptKind, Call
 from cairnferry.policy.search import TargetSet
@@ -10,40 +10,40 @@
 from cairnferry.policy.targets import TargetState
 
 
-def _none_made():
+def _zero_counts():
     return dict.fromkeys(AttemptKind, 0)
 
 
 @attrs.define
 class Attempts:
-    """Begins and ends attempts.
+    """Starts and ends attempts.
 
     Parameters
     ----------
     targets : TargetSet
         Targets of the service.
     limits : TargetLimits
-        Limits of targets, and the permits that are spent.
+        Rate limits of targets, and the permits to send to them.
     work : WorkEstimates
-        Which requests are urgent.
-    room : Room
-        Attempts that may run at this daemon.
+        Estimates by route, which also rank the requests by urgency.
+    capacity : Capacity
+        Concurrency limits of this daemon.
 
     Attributes
     ----------
     made : dict of AttemptKind to int
-        Attempts made so far.
+        Number of attempts started so far, by kind.
     """
 
     targets: TargetSet
     limits: TargetLimits
     work: WorkEstimates
-    room: Room
-    made: dict[AttemptKind, int] = attrs.field(factory=_none_made)
+    capacity: Capacity
+    made: dict[AttemptKind, int] = attrs.field(factory=_zero_counts)
 
     def place(self, call: Call, kind: AttemptKind, now: float) -> Attempt | None:
-        """Choose a target and begin the attempt; None if there is no room."""
-        if not self.room.has(call.priority):
+        """Choose a target and start an attempt; return None if there is no capacity."""
+        if not self.capacity.has_capacity_for(call.priority):
             return None
         target = self.targets.choose_for_trial(call, now)
         trial = target is not None
@@ -61,20 +61,25 @@
         now: float,
         trial: bool,
     ) -> Attempt:
-        """Begin an attempt at a target.
+        """Start an attempt at a target.
 
         Parameters
         ----------
         call : Call
             The request.
         target : TargetState
-            The target.
+            The target that the attempt is sent to.
         kind : AttemptKind
-            Why it is made.
+            Reason for the attempt.
         now : float
             Time in seconds.
         trial : bool
-            Whether it tests an ejected target.
+            Whether the attempt tests an ejected target.
+
+        Returns
+        -------
+        Attempt
+            The attempt, which counts as in flight until `end` is called.
         """
         attempt = Attempt(call, target, kind, now, trial)
         call.attempts.append(attempt)
@@ -82,12 +87,12 @@
         if self.limits:
             urgent = self.work.is_urgent(call.rank)
             self.limits.spend(target.identity, urgent, now)
-        self.room.take(call.priority)
+        self.capacity.acquire(call.priority)
         self.made[kind] += 1
         return attempt
 
     def end(self, attempt: Attempt) -> None:
-        """Give back what an attempt held."""
+        """Release the capacity that an attempt used."""
         attempt.ended = True
         attempt.target.note_finished(attempt.started)
-        self.room.give_back(attempt.call.priority)
+        self.capacity.release(attempt.call.priority)
--- a/packages/policy/src/cairnferry/policy/_service_state.py
+++ b/packages/policy/src/cairnferry/policy/_service_state.py
@@ -1,10 +1,10 @@
-"""What one daemon knows of a service and its targets."""
+"""State of a service and its targets, as one daemon sees it."""
 
 import random
 from collections.abc import Container
 
 from cairnferry.policy._settings import PolicySettings
-from cairnferry.policy.admission import Demand, Room, budget_of
+from cairnferry.policy.admission import Capacity, DemandEstimate, create_budget
 from cairnferry.policy.choice import WorkEstimates
 from cairnferry.policy.search import TargetSet
 from cairnferry.policy.shared import AdvisoryRegistry, PermitRequest, TargetLimits
@@ -13,22 +13,24 @@
 
 
 class ServiceState:
-    """Takes in what happens to a service, to the other instances and to targets.
+    """Records updates about a service, its targets and the other instances.
 
     Parameters
     ----------
     service : Service
-        The service's record.
+        Record of the service.
     zone : str
         Availability zone of this daemon.
     rng : random.Random
         Source of randomness.
     settings : PolicySettings, optional
-        Constants.
+        Constants of the policy.
     limits : TargetLimits, optional
-        Limits that targets name, of all services of the daemon.
-    holds : AdvisoryRegistry, optional
-        What targets have asked of the daemon, of all its services.
+        Rate limits that targets set in limit headers, shared by all services of the
+        daemon.
+    advisories : AdvisoryRegistry, optional
+        Back-offs and departures that targets announced, shared by all services of the
+        daemon.
     """
 
     def __init__(
@@ -45,120 +47,125 @@
         self.limits = TargetLimits() if limits is None else limits
         self._rng = rng
         self._work = WorkEstimates()
-        self._demand = Demand()
+        self._demand = DemandEstimate()
         self.advisories = AdvisoryRegistry() if advisories is None else advisories
         self._targets = TargetSet(
             zone, rng, self.settings, self.limits, self.advisories
         )
-        self._room = Room(self.settings)
+        self._capacity = Capacity(self.settings)
         self._instances = 1
-        self._budget = budget_of(service, self.settings)
+        self._budget = create_budget(service, self.settings)
 
-    def set_instances(self, instances: int, place: float | None = None) -> None:
-        """Take in the other instances.
+    def set_instances(self, instances: int, ring_position: float | None = None) -> None:
+        """Set the number of instances, and the position of this one among them.
 
         Parameters
         ----------
         instances : int
-            How many share the service's retry budget.
-        place : float, optional
-            Where among those of the zone this one stands, 0 to 1: it begins at another
-            part of the targets than these.
+            Number of instances that share the service's retry budget.
+        ring_position : float, optional
+            Position of this instance among those of its zone, 0 to 1. Each instance
+            starts its choice at a different part of the ring of targets.
         """
-        if place is not None:
-            self._targets.begin_at(place)
+        if ring_position is not None:
+            self._targets.set_ring_position(ring_position)
         self._instances = max(1, instances)
-        self._budget.follow(self.service, self.settings, self._instances)
+        self._budget.update(self.service, self.settings, self._instances)
 
     def update(self, service: Service, targets: list[Target], now: float) -> None:
-        """Take in the records in force; what was learnt of targets is kept."""
+        """Apply the records in force; observations of known targets are kept."""
         is_new = not self._targets
         self.service = service
-        self._budget.follow(service, self.settings, self._instances)
+        self._budget.update(service, self.settings, self._instances)
         self._targets.update(targets, now)
-        self._room.set_slots(sum(target.slots for target in targets), is_new)
+        self._capacity.set_slots(sum(target.slots for target in targets), is_new)
 
     def evacuate(self, zones: frozenset[str]) -> None:
-        """Send nothing to the targets of these availability zones, and of no others."""
+        """Set the evacuated availability zones; their targets get no requests."""
         self._targets.evacuate(zones)
 
     def note_draining(self, identity: str, source: DrainSource, until: float) -> None:
-        """Take in that a source calls a target leaving.
+        """Record that a source reports a target as draining.
 
         Parameters
         ----------
         identity : str
-            Name of the target's start.
+            Identity of one run of the target's process.
         source : DrainSource
-            Who says so.
+            Source of the report.
         until : float
-            Time in seconds to which it holds; 0 takes it back.
+            Time in seconds at which the report expires; 0 withdraws it.
         """
         self._targets.note_draining(identity, source, until)
 
     def note_advisory(
         self,
         identity: str,
-        words: TargetAdvisory,
+        advisory: TargetAdvisory,
         now: float,
         heard_by: str | None = None,
     ) -> None:
-        """Take in what a target says of itself.
+        """Record the advisory in the headers of a target's response.
 
         Parameters
         ----------
         identity : str
-            Name of the target's start.
-        words : TargetAdvisory
-            What it says.
+            Identity of one run of the target's process.
+        advisory : TargetAdvisory
+            The advisory.
         now : float
             Time in seconds.
         heard_by : str or None, optional
-            ID of the request in whose answer it said so, for the log.
+            ID of the request whose response carried the advisory, for the log.
         """
-        self._targets.note_advisory(identity, words, now, heard_by)
+        self._targets.note_advisory(identity, advisory, now, heard_by)
 
     def note_probe(self, identity: str, healthy: bool, now: float) -> None:
-        """Take in the result of a probe."""
+        """Record the result of a health probe."""
         self._targets.note_probe(identity, healthy, now)
 
     def note_missed_check(self, identity: str, now: float) -> None:
-        """Take in that a target has not answered a check in time."""
+        """Record that a target did not answer a status check in time."""
         self._targets.note_missed_check(identity, now)
 
     def note_warmup(self, identity: str, warm_at: float) -> None:
-        """Take in the time in seconds to which a target is slow, as it is cold."""
+        """Set the time in seconds up to which a cold target warms up and is slow."""
         self._targets.note_warmup(identity, warm_at)
 
     def note_check(
-        self, identity: str, report: LoadReport | None, well: bool, now: float
+        self, identity: str, report: LoadReport | None, healthy: bool, now: float
     ) -> None:
-        """Take in what a target said when it was asked for its load.
+        """Record the answer to a status check.
 
         Parameters
         ----------
         identity : str
-            Name of the target's start.
+            Identity of one run of the target's process.
         report : LoadReport or None
-            Its load; None if it gave no answer.
-        well : bool
-            Whether it calls itself well.
+            Load of the target; None if it did not answer.
+        healthy : bool
+            Whether the target reports itself as healthy.
         now : float
             Time in seconds.
         """
-        self._targets.note_check(identity, report, well, now)
+        self._targets.note_check(identity, report, healthy, now)
 
     def permits_to_request(
         self, barred: Container[str], now: float
     ) -> list[PermitRequest]:
-        """Give the permits for limited targets that the next requests may use.
+        """Return the permits for rate-limited targets that the next requests may use.
 
         Parameters
         ----------
         barred : container of str
-            Targets that are not to be asked about now.
+            Identities of targets for which no permit is to be requested now.
         now : float
             Time in seconds.
+
+        Returns
+        -------
+        list of PermitRequest
+            Number of permits to request, by target.
         """
         expected = self._demand.expected(now)
         return self._targets.permits_to_request(expected, barred, now)
--- a/packages/policy/src/cairnferry/policy/_settings.py
+++ b/packages/policy/src/cairnferry/policy/_settings.py
@@ -1,4 +1,4 @@
-"""Constants of the policy, in one place so that a bench can vary them."""
+"""Constants of the policy, in one class so that benchmarks can vary them."""
 
 import attrs
 
@@ -22,86 +22,88 @@
     Attributes
     ----------
     strategy : Strategy
-        How a target is chosen.
+        Method by which a target is chosen.
     report_weight : float
-        Weight of a fresh report against what is usual, 0 to 1. Reports tell all
-        daemons the same, late; followed in full, they send all of them to the
-        same targets.
+        Weight of a fresh load report against the mean load, 0 to 1. All daemons
+        receive the same reports with a delay; at full weight, all of them would send
+        to the same targets.
     report_decay_s : float
-        Age in seconds at which a report's weight has fallen to 1/e.
+        Age in seconds at which the weight of a report has decayed to 1/e.
     latency_gain : float
         Weight of a new latency sample, 0 to 1.
     latency_memory_s : float
-        Age in seconds at which a target's latency is half forgotten.
+        Age in seconds at which the weight of a target's latency has halved.
     failure_latency_factor : float
-        A failure counts as an answer this many times slower than usual.
+        Latency that a failure counts as, as a multiple of the usual latency.
     eject_failures : int
-        Failures in a row that eject a target.
+        Number of consecutive failures that eject a target.
     eject_base_s, eject_max_s : float
-        Time out of use after the first ejection, and at most.
+        Time in seconds out of use after the first ejection, and the longest one.
     eject_share : float
         Largest share of a service's targets that may be ejected.
     trial_timeout_s : float
-        After which a trial request without result no longer blocks the next.
+        Time in seconds after which a trial request without a result no longer blocks
+        the next trial.
     ramp_s : float
-        Time in seconds over which a new or returned target gets its full share.
+        Time in seconds over which a new or returned target ramps up to its full
+        share of requests.
     refusal_drain_s : float
-        Time in seconds for which a refusal that says "draining" holds.
+        Time in seconds for which a refusal that says "draining" is valid.
     refusal_pause_s : float
-        Time in seconds for which a refusal that says nothing of it holds.
+        Time in seconds for which a target is paused after any other refusal.
     background_share : float
         Share of the window that background requests may use.
     background_growth : float
-        Growth of the background window in one window of answers; slow, since the
-        load that it adds shows late.
+        Growth of the background window per window of answers. It is slow because
+        the load that background requests add is reported late.
     background_load : float
-        Load, of a target by estimate or of all as reported, from which no
-        background work is sent.
+        Load above which no background requests are sent: the estimated load of one
+        target, or the mean reported load of all.
     full_load : float
-        Estimated load of a target from which it takes nothing more. Above 1,
-        since an estimate that is too high would leave slots idle, while a short
-        queue at the target costs no more than one here.
+        Estimated load from which a target counts as full. It is above 1, because an
+        estimate that is too high would leave slots idle, while a short queue at the
+        target costs no more than a queue in this process.
     full_report_load : float
-        Mean reported load above which the window is cut, and up to which it
+        Mean reported load above which the window is reduced, and up to which it
         grows.
-    deepest_cut : float
-        Smallest factor of one cut of the window.
+    min_cut_factor : float
+        Smallest factor by which the window is reduced at once.
     min_window : float
-        Smallest window.
+        Smallest concurrency window, in requests.
     retry_burst : float
-        Most retry tokens held.
+        Largest number of retry tokens held.
     retry_start : float
-        Retry tokens at the start.
+        Number of retry tokens at the start.
     max_attempts : int
-        Attempts for one request, hedges included.
+        Largest number of attempts for one request, including hedges.
     high_quantile : float
-        Share of answers that are faster than what counts as a high latency.
+        Quantile of the answer times that counts as a high latency.
     hedge_factor : float
-        Time before a hedge as a multiple of the usual latency, and at least of
-        the high one.
+        Delay before a hedge as a multiple of the usual latency; the delay is never
+        shorter than the high latency.
     hedge_min_s : float
-        Shortest time in seconds before a hedge.
-    wait_share : float
-        Share of the time left that a request may be expected to wait.
+        Shortest delay in seconds before a hedge.
+    max_wait_share : float
+        Largest expected wait in the queue, as a share of the time left to the request.
     probe_interval_s : float
-        Time in seconds between two probes of one target, over all daemons.
+        Time in seconds between two probes of one target, by all daemons together.
     retry_after_s : float
-        Retry-After in seconds where nothing better is known.
-    return_shares : tuple of float
-        Earliest and latest return of a refused request, as shares of the time that it
-        can still wait and make its objective.
-    rest_spread : float
-        Part of the time to the end of a rest by which the returns of those that were
-        refused for it are spread after it.
+        Default Retry-After in seconds.
+    retry_after_shares : tuple of float
+        Smallest and largest Retry-After of a refused request, as shares of the time
+        that it can wait and still meet its objective.
+    back_off_spread : float
+        Jitter added to the Retry-After of a request that is refused because targets
+        are backing off, as a share of the time left in the back-off.
     budget_share : float
-        Part of a budget in windows that is spent. The rest covers requests that are
-        sent in one window and earn in the next, and repeats that arrive in the next.
+        Share of a window budget that may be spent. The rest covers requests that are
+        sent in one window and earn tokens in the next, and retries that arrive in the
+        next window.
     min_retry_after_s : float
-        Shortest Retry-After in seconds: below it a caller would come back before
-        anything has changed.
-    seek : StatusCheckSettings or None
-        How targets are asked for their load before a request is sent; None does not
-        ask.
+        Shortest Retry-After in seconds. With a shorter one, a caller would retry
+        before the load has changed.
+    status_checks : StatusCheckSettings or None
+        Settings of the status checks that precede each request; None disables them.
     """
 
     strategy: Strategy = LoadAware()
@@ -123,7 +125,7 @@
     background_load: float = 0.6
     full_load: float = 1.5
     full_report_load: float = 1.15
-    deepest_cut: float = 0.7
+    min_cut_factor: float = 0.7
     min_window: float = 1.0
     retry_burst: float = 5.0
     retry_start: float = 3.0
@@ -131,14 +133,14 @@
     high_quantile: float = 0.95
     hedge_factor: float = 2.5
     hedge_min_s: float = 0.002
-    wait_share: float = 0.4
+    max_wait_share: float = 0.4
     probe_interval_s: float = 1.2
     retry_after_s: float = 1.0
-    return_shares: tuple[float, float] = (0.2, 0.6)
-    rest_spread: float = 0.25
+    retry_after_shares: tuple[float, float] = (0.2, 0.6)
+    back_off_spread: float = 0.25
     budget_share: float = 0.9
     min_retry_after_s: float = 0.05
-    seek: StatusCheckSettings | None = None
+    status_checks: StatusCheckSettings | None = None
 
 
 _BASELINES = {
@@ -151,20 +153,25 @@
 
 
 def settings_for(strategy_name: str) -> PolicySettings:
-    """Give the settings of a strategy.
+    """Return the settings of a strategy.
 
-    The baselines choose a target and do nothing else: no limit on what is in
-    flight, no ejection and no hedging; retries as for all.
+    The baselines only choose a target, without a concurrency limit, ejection or
+    hedging. They retry like all other strategies.
+
+    Parameters
+    ----------
+    strategy_name : str
+        One of `STRATEGY_NAMES`.
 
     Raises
     ------
     KeyError
-        If there is no strategy of that name.
+        If there is no strategy of this name.
     """
     if strategy_name == "load-aware":
         return PolicySettings()
     if strategy_name == "ask-first":
-        return PolicySettings(min_window=UNLIMITED, seek=StatusCheckSettings())
+        return PolicySettings(min_window=UNLIMITED, status_checks=StatusCheckSettings())
     return PolicySettings(
         strategy=_BASELINES[strategy_name],
         min_window=UNLIMITED,
--- a/packages/policy/src/cairnferry/policy/admission/__init__.py
+++ b/packages/policy/src/cairnferry/policy/admission/__init__.py
@@ -1,10 +1,17 @@
-"""Whether a request waits, is refused or is repeated."""
+"""Admission: queueing, refusals, concurrency limits and retry budgets."""
 
 from cairnferry.policy.admission._admission import Admission
-from cairnferry.policy.admission._budget import budget_of
-from cairnferry.policy.admission._demand import Demand
-from cairnferry.policy.admission._queue import CLASSES
+from cairnferry.policy.admission._budget import create_budget
+from cairnferry.policy.admission._capacity import Capacity
+from cairnferry.policy.admission._demand import DemandEstimate
+from cairnferry.policy.admission._queue import PRIORITIES
 from cairnferry.policy.admission._refusals import Refusals
-from cairnferry.policy.admission._room import Room
 
-__all__ = ["Admission", "CLASSES", "Demand", "Refusals", "Room", "budget_of"]
+__all__ = [
+    "Admission",
+    "PRIORITIES",
+    "DemandEstimate",
+    "Refusals",
+    "Capacity",
+    "create_budget",
+]
--- a/packages/policy/src/cairnferry/policy/admission/_admission.py
+++ b/packages/policy/src/cairnferry/policy/admission/_admission.py
@@ -1,10 +1,10 @@
-"""Which requests may wait for a target here, and until when."""
+"""Admission of requests to the queue of a service."""
 
 import attrs
 
 from cairnferry.policy._settings import PolicySettings
+from cairnferry.policy.admission._capacity import Capacity
 from cairnferry.policy.admission._queue import WaitingCalls
-from cairnferry.policy.admission._room import Room
 from cairnferry.policy.requests import Call, Cause
 from cairnferry.policy.search import TargetSet
 from cairnferry.records import Priority
@@ -12,67 +12,72 @@
 
 @attrs.define
 class Admission:
-    """Lets requests into the queue of one service.
+    """Admits requests to the queue of one service.
 
     Parameters
     ----------
     settings : PolicySettings
         Constants.
     targets : TargetSet
-        What is known of the targets.
-    room : Room
-        Limits of what is in flight.
+        Targets of the service.
+    capacity : Capacity
+        Concurrency limits of this daemon.
 
     Attributes
     ----------
     waiting : WaitingCalls
-        The queue.
+        Queue of the service.
     """
 
     settings: PolicySettings
     targets: TargetSet
-    room: Room
+    capacity: Capacity
     waiting: WaitingCalls = attrs.field(factory=WaitingCalls)
     _displaced: list[Call] = attrs.field(factory=list)
 
     def admit(self, call: Call, limit: int, now: float) -> Cause | None:
-        """Let a request wait, or give the cause for which it may not.
+        """Add a request to the queue, or return the cause for refusing it.
 
         Parameters
         ----------
         call : Call
             The request.
         limit : int
-            Requests that may wait.
+            Largest number of requests in the queue.
         now : float
             Time in seconds.
+
+        Returns
+        -------
+        Cause or None
+            None if the request is in the queue.
         """
         if self.targets.none_left_for(call, self.start_by(call)):
-            return self.targets.cause_of_none
+            return self.targets.no_target_cause
         left = self.start_by(call) - now
-        if self._expected_wait(call) > self.settings.wait_share * left:
+        if self._expected_wait(call) > self.settings.max_wait_share * left:
             return Cause.DEADLINE
-        if len(self.waiting) >= limit and not self._make_room(call):
+        if len(self.waiting) >= limit and not self._displace_background(call):
             return Cause.OVERLOAD
         self.waiting.push(call)
         return None
 
     def start_by(self, call: Call) -> float:
-        """Give the time by which a request has to be sent to make its deadline."""
+        """Return the latest time to send a request so that it meets its deadline."""
         return call.deadline - self.targets.latency.longest
 
     def take_displaced(self) -> list[Call]:
-        """Give the requests that had to leave the queue for more urgent ones."""
+        """Return the requests that were displaced since the last call."""
         displaced = self._displaced
         self._displaced = []
         return displaced
 
     def _expected_wait(self, call):
-        ahead = self.waiting.ahead_of(call.priority)
-        return ahead * self.targets.latency.expected / max(1.0, self.room.limit)
+        ahead = self.waiting.count_ahead_of(call.priority)
+        return ahead * self.targets.latency.expected / max(1.0, self.capacity.limit)
 
-    def _make_room(self, call):
-        """Refuse a waiting background request in favour of an interactive one."""
+    def _displace_background(self, call):
+        """Displace a waiting background request in favour of an interactive one."""
         if call.priority is Priority.BACKGROUND:
             return False
         victim = self.waiting.last_background()
--- a/packages/policy/src/cairnferry/policy/admission/_budget.py
+++ b/packages/policy/src/cairnferry/policy/admission/_budget.py
@@ -1,4 +1,4 @@
-"""Budgets of retries and hedges, a share of first attempts."""
+"""Budgets of retries and hedges, in proportion to first attempts."""
 
 import attrs
 
@@ -8,22 +8,22 @@
 
 @attrs.define
 class RetryBudget:
-    """Tokens earned by first attempts and spent by further ones.
+    """Token bucket that first attempts fill and further attempts drain.
 
-    Without a common budget every failed request is sent again: when all targets
-    fail, or are slow, that multiplies the load just when they have no room.
+    Without a common budget, every failed request is retried. When all targets fail or
+    are slow, that multiplies the load while they have no spare capacity.
 
-    The first tokens are lent, so that the first failures after a start can be
-    met; what is earned pays them back before it counts.
+    The initial tokens are a loan, so that requests that fail right after the start can
+    be retried. Earned tokens pay back the loan before they become available.
 
     Parameters
     ----------
     ratio : float
-        Tokens for each first attempt.
+        Tokens earned by each first attempt.
     burst : float
-        Most tokens held.
+        Largest number of tokens held.
     tokens : float
-        Tokens lent at the start.
+        Number of tokens lent at the start.
     """
 
     ratio: float
@@ -34,8 +34,8 @@
     def __attrs_post_init__(self):
         self._debt = self.tokens
 
-    def follow(self, service: Service, settings: PolicySettings, instances: int):
-        """Take in a changed record; each instance earns its own tokens."""
+    def update(self, service: Service, settings: PolicySettings, instances: int):
+        """Apply a changed record; each instance earns its own tokens."""
         self.ratio = service.retry_ratio
 
     def earn(self, now: float = 0.0) -> None:
@@ -51,10 +51,16 @@
         Parameters
         ----------
         now : float, optional
-            Not looked at.
+            Ignored.
         on_credit : bool, optional
-            Whether a token that is not yet earned will do. As it is paid back
-            before the next, the share of further attempts stays what it is.
+            Whether a token that is not yet earned may be spent. The debt is paid back
+            before the next token is available, so that the share of further attempts
+            stays the same.
+
+        Returns
+        -------
+        bool
+            Whether the further attempt is allowed.
         """
         least = 1 - self.burst if on_credit else 1
         if self.tokens < least:
@@ -62,41 +68,42 @@
         self.tokens -= 1
         return True
 
-    def give_back(self) -> None:
+    def refund(self) -> None:
         """Take back the last `spend`: nothing was sent."""
         self.tokens = min(self.burst, self.tokens + 1)
 
 
-# Part of an instance's slack that it may hold unspent; the rest comes with time.
-STOCK_SHARE = 0.7
+# Share of its slack that an instance may hold unspent; the rest accrues over time.
+MAX_HELD_SHARE = 0.7
 
 
 @attrs.define
 class WindowBudget:
     """Budget of retries and hedges in any window of a given length.
 
-    All instances share it. Each spends what its own requests earn, and an equal part
-    of what is allowed beyond that, so that no message is needed between them, and none
-    can spend what another has spent.
+    All instances share the budget. Each instance spends the tokens that its own
+    requests earn and an equal part of the slack. Instances therefore exchange no
+    messages, and no two of them spend the same token.
 
-    The budget begins empty, and never holds more than its part of the slack. A process
-    that starts does not know what the one before it has spent in the same window: what
-    the two spend is bounded by what was held at the start of the window and what came
-    in since, however often an instance is lost.
+    The budget starts empty and never holds more than its share of the slack. A new
+    process cannot tell how much its predecessor spent in the same window. Their
+    total is bounded by the tokens held at the start of the window plus those that
+    accrued since, however often the instance restarts.
 
     Parameters
     ----------
     ratio : float
-        Further attempts for each first one.
+        Number of further attempts allowed for each first attempt.
     slack : float
-        Further attempts in a window beyond that, for this instance.
+        Number of further attempts that this instance may make in a window beyond the
+        ratio.
     window : float
-        Length in seconds.
+        Length of the window in seconds.
 
     Attributes
     ----------
     tokens : float
-        Further attempts that may be made now.
+        Number of further attempts allowed now.
     """
 
     ratio: float
@@ -105,17 +112,17 @@
     tokens: float = attrs.field(default=0.0, init=False)
     _filled_at: float | None = attrs.field(default=None, init=False)
 
-    def follow(self, service: Service, settings: PolicySettings, instances: int):
-        """Take in a changed record, or another number of instances that share it."""
+    def update(self, service: Service, settings: PolicySettings, instances: int):
+        """Apply a changed record or a changed number of instances."""
         part = settings.budget_share
         self.ratio = part * service.retry_ratio
         self.slack = part * service.retry_slack / instances
-        self.tokens = min(self.tokens, self.most_held)
+        self.tokens = min(self.tokens, self.max_tokens)
 
     @property
-    def most_held(self) -> float:
-        """Most tokens held; one at least, or none could ever be spent."""
-        return max(1.0, STOCK_SHARE * self.slack)
+    def max_tokens(self) -> float:
+        """Largest number of tokens held; at least 1, or none could ever be spent."""
+        return max(1.0, MAX_HELD_SHARE * self.slack)
 
     def earn(self, now: float) -> None:
         """Count a first attempt."""
@@ -125,7 +132,7 @@
     def spend(self, now: float, on_credit: bool = False) -> bool:
         """Take a token for a further attempt, if there is one.
 
-        There is no credit: the bound holds in each window.
+        `on_credit` is ignored, because the bound applies to each window.
         """
         self._fill(now)
         if self.tokens < 1:
@@ -133,23 +140,31 @@
         self.tokens -= 1
         return True
 
-    def give_back(self) -> None:
+    def refund(self) -> None:
         """Take back the last `spend`: nothing was sent."""
         self._add(1.0)
 
     def _fill(self, now):
-        """Add what comes with time: what of the slack is not held, in each window."""
+        """Add the slack beyond `max_tokens`, which accrues evenly over the window."""
         if self._filled_at is not None:
-            rate = max(0.0, self.slack - self.most_held) / self.window
+            rate = max(0.0, self.slack - self.max_tokens) / self.window
             self._add(rate * max(0.0, now - self._filled_at))
         self._filled_at = now
 
     def _add(self, count):
-        self.tokens = min(self.most_held, self.tokens + count)
+        self.tokens = min(self.max_tokens, self.tokens + count)
 
 
-def budget_of(service: Service, settings: PolicySettings) -> RetryBudget | WindowBudget:
-    """Give the sort of budget that a service's record asks for."""
+def create_budget(
+    service: Service, settings: PolicySettings
+) -> RetryBudget | WindowBudget:
+    """Create the budget that the record of a service specifies.
+
+    Returns
+    -------
+    WindowBudget or RetryBudget
+        A `WindowBudget` if the record sets a window, else a `RetryBudget`.
+    """
     if service.retry_window_s is None:
         return RetryBudget(
             service.retry_ratio, settings.retry_burst, settings.retry_start
--- a/packages/policy/src/cairnferry/policy/admission/_queue.py
+++ b/packages/policy/src/cairnferry/policy/admission/_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait for a target, by class and deadline."""
+"""Queue of requests that wait for a target, by priority and deadline."""
 
 import heapq
 import itertools
@@ -8,12 +8,12 @@
 from cairnferry.policy.requests import Call
 from cairnferry.records import Priority
 
-CLASSES = (Priority.INTERACTIVE, Priority.BACKGROUND)
+PRIORITIES = (Priority.INTERACTIVE, Priority.BACKGROUND)
 
 
 @attrs.define
-class _ClassQueue:
-    """Waiting requests of one class, the nearest deadline first."""
+class _PriorityQueue:
+    """Waiting requests of one priority, earliest deadline first."""
 
     heap: list = attrs.field(factory=list)
     waiting: set = attrs.field(factory=set)
@@ -21,10 +21,10 @@
 
 @attrs.define
 class WaitingCalls:
-    """Bounded queue: interactive requests first, then the nearest deadline."""
+    """Queue of interactive and then background requests, earliest deadline first."""
 
-    _queues: dict[Priority, _ClassQueue] = attrs.field(
-        factory=lambda: {priority: _ClassQueue() for priority in CLASSES}
+    _queues: dict[Priority, _PriorityQueue] = attrs.field(
+        factory=lambda: {priority: _PriorityQueue() for priority in PRIORITIES}
     )
     _sequence: itertools.count = attrs.field(factory=itertools.count)
 
@@ -38,27 +38,27 @@
         heapq.heappush(queue.heap, (call.deadline, next(self._sequence), call))
 
     def remove(self, call: Call) -> None:
-        """Take a request out, if it waits; its heap entry is skipped later."""
+        """Remove a request if it waits; its heap entry is skipped later."""
         self._queues[call.priority].waiting.discard(call)
 
     def peek(self, priority: Priority) -> Call | None:
-        """Give the first request of a class."""
+        """Return the first request of a priority, or None."""
         queue = self._queues[priority]
         while queue.heap and queue.heap[0][2] not in queue.waiting:
             heapq.heappop(queue.heap)
         return queue.heap[0][2] if queue.heap else None
 
-    def ahead_of(self, priority: Priority) -> int:
-        """Count the requests that go before a new one of a class.
+    def count_ahead_of(self, priority: Priority) -> int:
+        """Count the requests that precede a new one of a priority.
 
-        Background requests are not ahead of an interactive one: they may wait
-        for lack of spare capacity while there is room for it.
+        Background requests do not count for an interactive one. They may wait for
+        spare capacity while there is capacity for the interactive request.
         """
         if priority is Priority.BACKGROUND:
             return len(self)
         return len(self._queues[Priority.INTERACTIVE].waiting)
 
     def last_background(self) -> Call | None:
-        """Give a background request that may be refused to make room."""
+        """Return the background request that is displaced first, or None."""
         waiting = self._queues[Priority.BACKGROUND].waiting
         return max(waiting, key=lambda call: call.deadline, default=None)
--- a/packages/policy/src/cairnferry/policy/admission/_refusals.py
+++ b/packages/policy/src/cairnferry/policy/admission/_refusals.py
@@ -1,4 +1,4 @@
-"""Requests that are given up: with which promise, and when they may come back."""
+"""Requests that are given up: their answers and Retry-After."""
 
 import math
 import random
@@ -10,78 +10,85 @@
 from cairnferry.policy.requests import Call, Cause, GiveUp, Refuse
 
 
-def _none_given_up():
+def _zero_counts():
     return dict.fromkeys(Cause, 0)
 
 
 @attrs.define
 class Refusals:
-    """Gives requests up, and counts them.
+    """Gives up requests and counts them by cause.
 
     Parameters
     ----------
     settings : PolicySettings
-        Constants.
+        Constants of the policy.
     work : WorkEstimates
-        What requests of each route take.
+        Estimated work of the requests of each route.
     rng : random.Random
-        Spreads those that come back.
+        Source of the jitter in Retry-After.
 
     Attributes
     ----------
     given_up : dict of Cause to int
-        Requests given up so far.
+        Number of requests given up so far, by cause.
     """
 
     settings: PolicySettings
     work: WorkEstimates
     rng: random.Random
-    given_up: dict[Cause, int] = attrs.field(factory=_none_given_up)
+    given_up: dict[Cause, int] = attrs.field(factory=_zero_counts)
 
     def refuse_with_delay(self, cause: Cause, retry_after: float) -> Refuse:
-        """Refuse a request for a cause that lies outside of the service."""
+        """Refuse a request for a cause outside of the service."""
         self.given_up[cause] += 1
         return Refuse(cause, retry_after)
 
     def refuse(self, cause: Cause) -> Refuse:
-        """Refuse a request that has not been sent anywhere."""
+        """Refuse a request that was not sent to any target."""
         return self.refuse_with_delay(cause, self.settings.retry_after_s)
 
-    def settle(
-        self, call: Call, cause: Cause, now: float, room_at: float = math.inf
+    def give_up(
+        self, call: Call, cause: Cause, now: float, capacity_at: float = math.inf
     ) -> Refuse | GiveUp:
-        """Give a request up, with what the evidence of all attempts allows.
+        """Give up a request, with the answer that the evidence of its attempts allows.
 
         Parameters
         ----------
         call : Call
             The request.
         cause : Cause
-            Why.
+            Cause.
         now : float
             Time in seconds.
-        room_at : float, optional
-            Time in seconds at which there will be room again; infinite if unknown.
+        capacity_at : float, optional
+            Time in seconds at which capacity becomes free; infinite if unknown.
+
+        Returns
+        -------
+        Refuse or GiveUp
+            `GiveUp` if an attempt may have run, else `Refuse`.
         """
         self.given_up[cause] += 1
         if cause is Cause.BACKING_OFF:
-            room_at += self.settings.rest_spread * self.rng.random() * (room_at - now)
-        retry_after = self._return_after(call, now, room_at)
+            capacity_at += (
+                self.settings.back_off_spread * self.rng.random() * (capacity_at - now)
+            )
+        retry_after = self._retry_after(call, now, capacity_at)
         if call.possibly_run:
             return GiveUp(cause, retry_after)
         return Refuse(cause, retry_after)
 
-    def _return_after(self, call, now, room_at):
-        """Give the seconds after which a request that found no room may come back.
+    def _retry_after(self, call, now, capacity_at):
+        """Return the Retry-After in seconds of a request that found no capacity.
 
-        Early enough to make its objective if room is found then, and spread, so that
-        those that were refused together do not come back together.
+        A retry after that time can still meet the objective. Jitter prevents requests
+        that were refused together from returning together.
         """
-        if room_at < math.inf:
-            return max(self.settings.min_retry_after_s, room_at - now)
+        if capacity_at < math.inf:
+            return max(self.settings.min_retry_after_s, capacity_at - now)
         if call.objective is None:
             return self.settings.retry_after_s
-        earliest, latest = self.settings.return_shares
+        earliest, latest = self.settings.retry_after_shares
         share = earliest + (latest - earliest) * self.rng.random()
         slack = call.objective - now - self.work.seconds(call.route)
         return max(self.settings.min_retry_after_s, slack * share)
--- a/packages/policy/src/cairnferry/policy/choice/__init__.py
+++ b/packages/policy/src/cairnferry/policy/choice/__init__.py
@@ -1,4 +1,4 @@
-"""Whom to ask, and whom to take, of the targets that may be used."""
+"""Choice of targets to check and of the target to send a request to."""
 
 from cairnferry.policy.choice._choice import (
     Chooser,
@@ -9,7 +9,10 @@
     Strategy,
     TwoChoices,
 )
-from cairnferry.policy.choice._seeking import Seeker, StatusCheckSettings
+from cairnferry.policy.choice._status_checks import (
+    StatusCheckChooser,
+    StatusCheckSettings,
+)
 from cairnferry.policy.choice._work import WorkEstimates
 
 __all__ = [
@@ -19,7 +22,7 @@
     "RandomChoice",
     "RoundRobin",
     "StatusCheckSettings",
-    "Seeker",
+    "StatusCheckChooser",
     "Strategy",
     "TwoChoices",
     "WorkEstimates",
--- a/packages/policy/src/cairnferry/policy/choice/_choice.py
+++ b/packages/policy/src/cairnferry/policy/choice/_choice.py
@@ -1,4 +1,4 @@
-"""Choice of one target among those that may be used."""
+"""Choice of one target among the usable ones, by estimated load."""
 
 import random
 
@@ -6,20 +6,22 @@
 
 from cairnferry.policy.targets import ReportTrust, TargetState
 
+# Load-independent part of the cost of a target, so that latency matters at idle ones.
 IDLE_COST = 0.5
+# Load that a target is assumed to have in addition at the start of its ramp.
 RAMP_LOAD = 0.8
 
 
 @attrs.frozen
 class LoadAware:
-    """Least expected cost among a few drawn at random, own zone first.
+    """Lowest expected cost among a random sample, own zone first.
 
     Attributes
     ----------
     sample : int
-        Targets that are compared.
+        Number of targets that are compared.
     spill_load : float
-        Estimated load from which other zones are looked at too.
+        Estimated load of the best target from which other zones are compared too.
     """
 
     sample: int = 20
@@ -28,22 +30,22 @@
 
 @attrs.frozen
 class TwoChoices:
-    """The one with fewer own requests of two drawn at random (a baseline)."""
+    """Fewer own requests in flight among two random targets (baseline)."""
 
 
 @attrs.frozen
 class LeastInFlight:
-    """The one with fewest own requests (a baseline)."""
+    """Fewest own requests in flight (baseline)."""
 
 
 @attrs.frozen
 class RoundRobin:
-    """Each in turn (a baseline)."""
+    """Each target in turn (baseline)."""
 
 
 @attrs.frozen
 class RandomChoice:
-    """Any (a baseline)."""
+    """Random target (baseline)."""
 
 
 Strategy = LoadAware | TwoChoices | LeastInFlight | RoundRobin | RandomChoice
@@ -51,22 +53,22 @@
 
 @attrs.define
 class Chooser:
-    """Applies a strategy.
+    """Chooses targets by a strategy.
 
     Parameters
     ----------
     strategy : Strategy
-        What to apply.
+        The strategy.
     rng : random.Random
         Source of randomness.
     trust : ReportTrust
-        How far reports are believed.
+        Weight of load reports by age.
     latency_memory : float
-        Age in seconds at which a slow target's latency is half forgotten.
+        Age in seconds at which the weight of a slow target's latency has halved.
     ramp : float
-        Seconds over which a new target gets its full share.
-    usual_others : float
-        Share of a target's slots that other daemons use on the whole.
+        Time in seconds over which a new target ramps up to its full share.
+    mean_others_load : float
+        Mean share of a target's slots that other daemons use.
     """
 
     strategy: Strategy
@@ -90,18 +92,18 @@
         Parameters
         ----------
         near, far : list of TargetState
-            Those in the own zone and in others; all may be used.
+            Usable targets in the own zone and in other zones.
         now : float
             Time in seconds.
         usual_latency : float
-            Answer time of the service in seconds, for targets without one.
+            Usual answer time of the service in seconds, for targets without samples.
         max_load : float
-            Estimated load from which a target takes nothing more.
+            Estimated load from which a target counts as full.
 
         Returns
         -------
         TargetState or None
-            None if all that were looked at are full.
+            None if all targets are full or there are none.
         """
         match self.strategy:
             case LoadAware(sample, spill):
@@ -128,10 +130,10 @@
         return targets[self._turn % len(targets)]
 
     def _draw(self, targets, count):
-        """Draw some targets; all of them, from a random one on, if they are few.
+        """Draw a random sample, or all targets in a random rotation if there are few.
 
-        Of two that cost the same the first is taken. In a fixed order that would
-        be the same one at every daemon.
+        The first of several targets with the same cost is chosen. In a fixed order,
+        every daemon would choose the same target.
         """
         if len(targets) > count:
             return self.rng.sample(targets, count)
@@ -147,7 +149,7 @@
             return other
         if best is not None:
             return best
-        # The few that were drawn are full; a free one may be among the rest.
+        # All targets of the samples are full; others may have free slots.
         best, _ = self._best_of(near, now, usual, max_load)
         if best is None:
             best, _ = self._best_of(far, now, usual, max_load)
@@ -173,9 +175,9 @@
         return best, best_load
 
     def _ramp_load(self, age):
-        """Count a target that has just come as partly in use.
+        """Return the extra load that a new target is assumed to have at an age.
 
-        A cold target is slow at first. A full share at once would queue there.
+        A cold target is slow at first, and a full share of requests would queue there.
         """
         return RAMP_LOAD * (1 - age / self.ramp)
 
--- a/packages/policy/src/cairnferry/policy/choice/_work.py
+++ b/packages/policy/src/cairnferry/policy/choice/_work.py
@@ -1,55 +1,58 @@
-"""How long the requests of each route take, and which of them are urgent."""
+"""Estimated work of the requests of each route, and their urgency."""
 
 import attrs
 
-# Weight of a new sample: some ten answers, a second of one route, make the estimate.
-GAIN = 0.1
-# A request that took this many times as long as usual counts as that: one that hung
-# says nothing of the work.
-LONGEST = 4.0
+# Weight of a new sample. The estimate follows about the last ten answers, which is one
+# second of a route.
+SAMPLE_GAIN = 0.1
+# Upper bound of a sample as a multiple of the estimate: the time of a request that hung
+# does not reflect its work.
+MAX_SAMPLE_FACTOR = 4.0
 
 
 @attrs.define
 class WorkEstimates:
-    """Estimates by route, for the requests of one service.
+    """Estimates of work by route, for the requests of one service.
 
-    Routes of one service differ by a factor of six in what they ask of a target, so
-    that a common estimate would let in what is too long and refuse what is short.
+    The work of the routes of one service differs by a factor of six. A common estimate
+    would admit requests that take too long and refuse short ones.
     """
 
     _seconds: dict[str, float] = attrs.field(factory=dict)
     _ranks: dict[str, int] = attrs.field(factory=dict)
-    _first_rank: int | None = None
+    _most_urgent_rank: int | None = None
 
     def note_arrival(self, route: str, rank: int) -> None:
-        """Take in that a route's requests come here."""
+        """Record the arrival of a request, and the rank of its route."""
         if self._ranks.get(route) != rank:
             self._ranks[route] = rank
-            self._first_rank = min(self._ranks.values())
+            self._most_urgent_rank = min(self._ranks.values())
 
     def is_urgent(self, rank: int) -> bool:
-        """Tell whether no other requests of the service go before this rank."""
-        return self._first_rank is None or rank <= self._first_rank
+        """Return whether no requests of the service have a more urgent rank."""
+        return self._most_urgent_rank is None or rank <= self._most_urgent_rank
 
-    def note(self, route: str, elapsed: float, cost: float) -> None:
-        """Take in how long a request took.
+    def record(self, route: str, elapsed: float, cost: float) -> None:
+        """Record the time that a request took.
 
         Parameters
         ----------
         route : str
             Name of its route.
         elapsed : float
-            Seconds from sending to the answer.
+            Time in seconds from the start of the attempt to the answer.
         cost : float
-            How many times longer than usual it was expected to take.
+            Expected time as a multiple of the usual time.
         """
         sample = elapsed / max(cost, 1.0)
         known = self._seconds.get(route)
         if known is None:
             self._seconds[route] = sample
             return
-        self._seconds[route] = known + GAIN * (min(sample, LONGEST * known) - known)
+        self._seconds[route] = known + SAMPLE_GAIN * (
+            min(sample, MAX_SAMPLE_FACTOR * known) - known
+        )
 
     def seconds(self, route: str) -> float:
-        """Give the seconds at an idle target of usual pace; 0 if unknown."""
+        """Return the time in seconds at an idle target of usual speed; 0 if unknown."""
         return self._seconds.get(route, 0.0)
--- a/packages/policy/src/cairnferry/policy/requests/__init__.py
+++ b/packages/policy/src/cairnferry/policy/requests/__init__.py
@@ -1,13 +1,13 @@
-"""Requests, attempts, decisions, and what an attempt proves."""
+"""Requests, attempts, decisions, and the evidence of attempts."""
 
 from cairnferry.policy.requests._evidence import (
     Answered,
     AttemptResult,
-    Follow,
     Lost,
+    NextStep,
     NotRun,
     TargetRefused,
-    follow,
+    next_step,
 )
 from cairnferry.policy.requests._model import (
     Attempt,
@@ -36,7 +36,7 @@
     "Call",
     "Cause",
     "Decision",
-    "Follow",
+    "NextStep",
     "GiveUp",
     "Lost",
     "NotRun",
@@ -47,5 +47,5 @@
     "Send",
     "TargetRefused",
     "Wait",
-    "follow",
+    "next_step",
 ]
--- a/packages/policy/src/cairnferry/policy/requests/_evidence.py
+++ b/packages/policy/src/cairnferry/policy/requests/_evidence.py
@@ -1,7 +1,7 @@
-"""What is known after an attempt, and what that allows.
+"""Evidence of an attempt, and the steps that it permits.
 
-Evidence, not status codes, decides what may follow. The source of the idea is
-"API Timeout After Ticket Creation" (see docs/design/0003-evidence.md).
+The evidence of an attempt, not its status code, decides the next step. The idea is
+from "API Timeout After Ticket Creation" (see docs/design/0003-evidence.md).
 """
 
 import enum
@@ -13,14 +13,14 @@
 
 @attrs.frozen
 class Answered:
-    """A whole answer came: the request ran.
+    """A complete answer was received: the request ran.
 
     Attributes
     ----------
     failed : bool
         Whether the answer is a server error.
     report : LoadReport or None
-        The target's load, if the answer told it.
+        Load of the target, if the answer contains it.
     """
 
     failed: bool = False
@@ -29,14 +29,14 @@
 
 @attrs.frozen
 class TargetRefused:
-    """The target refused by the contract in its record: not run.
+    """The target refused as its refusal contract specifies: the request did not run.
 
     Attributes
     ----------
     draining : bool
-        Whether the refusal says that the target is leaving.
+        Whether the refusal says that the target is draining.
     report : LoadReport or None
-        The target's load, if the answer told it.
+        Load of the target, if the answer contains it.
     """
 
     draining: bool = False
@@ -45,14 +45,14 @@
 
 @attrs.frozen
 class NotRun:
-    """No byte of the request was written.
+    """No byte of the request was written: the request did not run.
 
     Attributes
     ----------
     deadline : bool
-        Whether that was for the request's deadline, not for the target.
+        Whether the deadline of the request was the reason, not the target.
     withdrawn : bool
-        Whether the target asked to be left alone before the request was written.
+        Whether the target asked for no further requests before this one was written.
     """
 
     deadline: bool = False
@@ -61,14 +61,14 @@
 
 @attrs.frozen
 class Lost:
-    """Something was written, and no whole answer came: unknown.
+    """The request was written without a complete answer: it may have run.
 
     Attributes
     ----------
     timed_out : bool
-        Whether the request's time was over first.
+        Whether the deadline of the request passed first.
     broken : bool
-        Whether the target's side broke the connection.
+        Whether the target's side closed or reset the connection.
     """
 
     timed_out: bool = False
@@ -79,7 +79,7 @@
 
 
 class Evidence(enum.Enum):
-    """Classes of results, by what they prove."""
+    """What a result proves about the execution of a request."""
 
     RAN = "ran"
     FAILED = "failed"
@@ -87,30 +87,30 @@
     UNKNOWN = "unknown"
 
 
-class Follow(enum.Enum):
-    """What may follow."""
+class NextStep(enum.Enum):
+    """Next step that a result permits."""
 
     RELAY = "relay"
-    AGAIN_OR_RELAY = "again-or-relay"
-    AGAIN = "again"
-    TELL_UNKNOWN = "tell-unknown"
-
-
-# By evidence and whether the request is idempotent.
-_FOLLOW = {
-    (Evidence.RAN, True): Follow.RELAY,
-    (Evidence.RAN, False): Follow.RELAY,
-    (Evidence.FAILED, True): Follow.AGAIN_OR_RELAY,
-    (Evidence.FAILED, False): Follow.RELAY,
-    (Evidence.NOT_RUN, True): Follow.AGAIN,
-    (Evidence.NOT_RUN, False): Follow.AGAIN,
-    (Evidence.UNKNOWN, True): Follow.AGAIN,
-    (Evidence.UNKNOWN, False): Follow.TELL_UNKNOWN,
+    RETRY_OR_RELAY = "again-or-relay"
+    RETRY = "again"
+    REPORT_UNKNOWN = "tell-unknown"
+
+
+# By evidence and by whether the request is idempotent.
+_NEXT_STEPS = {
+    (Evidence.RAN, True): NextStep.RELAY,
+    (Evidence.RAN, False): NextStep.RELAY,
+    (Evidence.FAILED, True): NextStep.RETRY_OR_RELAY,
+    (Evidence.FAILED, False): NextStep.RELAY,
+    (Evidence.NOT_RUN, True): NextStep.RETRY,
+    (Evidence.NOT_RUN, False): NextStep.RETRY,
+    (Evidence.UNKNOWN, True): NextStep.RETRY,
+    (Evidence.UNKNOWN, False): NextStep.REPORT_UNKNOWN,
 }
 
 
 def evidence_of(result: AttemptResult) -> Evidence:
-    """Give what a result proves."""
+    """Return what a result proves."""
     match result:
         case Answered(failed=True):
             return Evidence.FAILED
@@ -122,6 +122,6 @@
             return Evidence.UNKNOWN
 
 
-def follow(result: AttemptResult, idempotent: bool) -> Follow:
-    """Give what may follow a result."""
-    return _FOLLOW[evidence_of(result), idempotent]
+def next_step(result: AttemptResult, idempotent: bool) -> NextStep:
+    """Return the next step that a result permits."""
+    return _NEXT_STEPS[evidence_of(result), idempotent]
--- a/packages/policy/src/cairnferry/policy/requests/_model.py
+++ b/packages/policy/src/cairnferry/policy/requests/_model.py
@@ -1,4 +1,4 @@
-"""Requests, attempts and decisions."""
+"""Data model of requests, attempts and decisions."""
 
 import enum
 
@@ -10,7 +10,7 @@
 
 
 class Cause(enum.StrEnum):
-    """Why a request is given up."""
+    """Reason for giving up a request."""
 
     DEADLINE = "deadline"
     OVERLOAD = "overload"
@@ -25,7 +25,7 @@
 
 
 class AttemptKind(enum.StrEnum):
-    """Why an attempt is made."""
+    """Reason for an attempt."""
 
     FIRST = "first"
     RETRY = "retry"
@@ -39,36 +39,36 @@
     Attributes
     ----------
     arrived, deadline : float
-        Times in seconds.
+        Times of arrival and of the deadline in seconds.
     idempotent : bool
-        Whether it may run more than once.
+        Whether the request may run more than once.
     priority : Priority
-        Class of the request.
+        Priority of the request.
     may_retry : bool
-        False if a layer above already repeats it.
+        False if a layer above already retries the request.
     attempts : list of Attempt
-        Attempts made so far.
+        Attempts started so far.
     possibly_run : bool
-        Whether an attempt ended that may have run.
+        Whether an attempt has ended that may have run.
     max_attempts : int or None
-        Most attempts that its route allows; None leaves it to the settings.
+        Largest number of attempts that the route allows; None uses the settings.
     objective : float or None
-        Time in seconds up to which an answer is of full use.
+        Time in seconds by which an answer is useful to the caller; None if not set.
     rank : int
-        Order among waiting requests; 0 goes first.
+        Urgency; 0 is the most urgent.
     route : str
-        Name of its route: requests of one route are alike.
+        Name of the route. Requests of one route take a similar amount of work.
     search : Search
-        Targets asked for the attempt that is being prepared.
+        State of the search for the target of the next attempt.
     identity : RequestIdentity or None
-        Tells it from others; None where it is never compared.
+        Identity for comparison with other requests; None if it is never compared.
     is_suspect : bool
-        Whether a target ended under a request like it: then it is never at two targets
-        at the same moment.
+        Whether a target crashed under an identical request. Such a request is never
+        at two targets at the same time.
     is_isolated : bool
-        Whether no other one like it runs at this daemon meanwhile.
+        Whether no identical request runs at this daemon at the same time.
     is_trial : bool
-        Whether it tries if a target runs by now what ended others.
+        Whether the request tests if targets no longer crash under requests like it.
     """
 
     arrived: float
@@ -89,31 +89,31 @@
     is_trial: bool = False
 
     def tried(self, target: TargetState) -> bool:
-        """Tell whether an attempt went to this start of a target."""
+        """Return whether an attempt was sent to this run of a target."""
         return any(each.target.identity == target.identity for each in self.attempts)
 
     @property
     def open_attempts(self) -> int:
-        """Attempts without result so far."""
+        """Number of attempts without a result."""
         return sum(not attempt.ended for attempt in self.attempts)
 
 
 @attrs.define
 class Search:
-    """How far the search for a target has come.
+    """State of the search for a target.
 
     Attributes
     ----------
     kind : AttemptKind
-        Why an attempt is to be made.
+        Reason for the attempt.
     rounds : int
-        Rounds of status checks made.
-    asked : set of str
-        Names of the targets that were asked.
+        Number of rounds of status checks made.
+    checked : set of str
+        Identities of the targets that were checked.
     may_relay : bool
-        Whether an answer is there already, to be relayed if no target is found.
+        Whether an answer is available to relay if no target is found.
     pauses : int
-        How often it was let wait for a permit.
+        Number of pauses made to wait for a permit.
     """
 
     kind: AttemptKind = AttemptKind.FIRST
@@ -125,24 +125,24 @@
 
 @attrs.define(eq=False)
 class Attempt:
-    """One sending of a request to one target.
+    """One transmission of a request to one target.
 
     Attributes
     ----------
     call : Call
         The request.
     target : TargetState
-        Where it goes.
+        The target.
     kind : AttemptKind
-        Why it is made.
+        Reason for the attempt.
     started : float
-        Time in seconds.
+        Start time in seconds.
     trial : bool
-        Whether it tests an ejected target.
+        Whether the attempt tests an ejected target.
     cost : float
-        How many times longer than usual it is expected to take.
+        Expected time as a multiple of the usual time.
     ended : bool
-        Whether its result is known.
+        Whether the attempt has a result.
     """
 
     call: Call
@@ -155,7 +155,7 @@
 
     @property
     def target_name(self) -> str:
-        """Name of the target's record."""
+        """Name in the target's record."""
         return self.target.record.name
 
     @property
@@ -165,20 +165,26 @@
 
     @property
     def refusal(self) -> RefusalContract | None:
-        """How the target says that it did not run a request."""
+        """Contract by which the target signals that it did not run a request."""
         return self.target.record.refusal
 
 
 @attrs.frozen
 class Send:
-    """Send the attempt now."""
+    """Send the attempt now.
+
+    Attributes
+    ----------
+    attempt : Attempt
+        The attempt, which has already been counted as started.
+    """
 
     attempt: Attempt
 
 
 @attrs.frozen
 class CheckStatus:
-    """Ask these targets for their load, all at once, then call `checked`.
+    """Check the status of these targets concurrently, then call `ServicePolicy.resume`.
 
     Attributes
     ----------
@@ -191,12 +197,12 @@
 
 @attrs.frozen
 class Wait:
-    """Wait; `ServicePolicy.release` decides later.
+    """Wait until `ServicePolicy.release` returns the next decision.
 
     Attributes
     ----------
     until : float
-        Latest time in seconds by which it will be decided.
+        Latest time in seconds of the next decision.
     """
 
     until: float
@@ -204,7 +210,7 @@
 
 @attrs.frozen
 class Pause:
-    """Wait so long, then call `checked`.
+    """Wait for a given time, then call `ServicePolicy.resume`.
 
     Attributes
     ----------
@@ -217,24 +223,24 @@
 
 @attrs.frozen
 class Relay:
-    """Pass the target's answer on to the caller."""
+    """Relay the target's answer to the caller."""
 
 
 @attrs.frozen
 class AwaitOthers:
-    """Do nothing: another attempt of the same request decides."""
+    """Do nothing; the result of another attempt of the same request decides."""
 
 
 @attrs.frozen
 class Refuse:
-    """Tell the caller at once that the request was not run.
+    """Tell the caller immediately that the request did not run.
 
     Attributes
     ----------
     cause : Cause
-        Why.
+        Reason.
     retry_after : float
-        When to come back, in seconds.
+        Retry-After in seconds.
     """
 
     cause: Cause
@@ -243,7 +249,15 @@
 
 @attrs.frozen
 class GiveUp:
-    """Tell the caller at once that it is unknown whether the request ran."""
+    """Tell the caller immediately that it is unknown whether the request ran.
+
+    Attributes
+    ----------
+    cause : Cause
+        Reason.
+    retry_after : float
+        Retry-After in seconds.
+    """
 
     cause: Cause
     retry_after: float
--- a/packages/policy/src/cairnferry/policy/search/__init__.py
+++ b/packages/policy/src/cairnferry/policy/search/__init__.py
@@ -1,4 +1,4 @@
-"""The search for a target: all that is known of those of a service, and its rounds."""
+"""Search for a target: the targets of a service, and rounds of status checks."""
 
 from cairnferry.policy.search._searcher import Found, NothingFound, Searcher
 from cairnferry.policy.search._targetset import TargetSet
--- a/packages/policy/src/cairnferry/policy/search/_learning.py
+++ b/packages/policy/src/cairnferry/policy/search/_results.py
@@ -1,4 +1,4 @@
-"""What results of attempts teach about targets."""
+"""Updates of target state from the results of attempts."""
 
 from collections.abc import Callable, Collection
 
@@ -30,21 +30,21 @@
 
 
 @attrs.define
-class Learning:
-    """Learns from results, for all targets of a service.
+class ResultRecorder:
+    """Records the results of attempts at all targets of a service.
 
     Parameters
     ----------
     settings : PolicySettings
-        Constants.
+        Constants of the policy.
     chooser : Chooser
-        Is told what others use of a target on the whole.
+        Receives the mean load that other daemons put on a target.
     ejector : Ejector
-        Takes targets out of use.
+        Ejects failing targets.
     events : EventLog
-        Changes in what is believed.
-    forget_usable : callable
-        Called when other targets may be usable now.
+        Receives the state changes of targets.
+    invalidate_usable : callable
+        Called when the set of usable targets may have changed.
 
     Attributes
     ----------
@@ -58,28 +58,28 @@
     chooser: Chooser
     ejector: Ejector
     events: EventLog
-    forget_usable: Callable[[], None]
+    invalidate_usable: Callable[[], None]
     latency: LatencyEstimate = attrs.field(init=False)
     reported_load: float = 0.0
 
     def __attrs_post_init__(self):
         self.latency = LatencyEstimate(self.settings.high_quantile)
 
-    def learn(
+    def record_result(
         self,
         attempt: Attempt,
         result: AttemptResult,
         targets: Collection[TargetState],
         now: float,
     ) -> None:
-        """Take in the result of an attempt.
+        """Record the result of an attempt.
 
         Parameters
         ----------
         attempt : Attempt
             The attempt.
         result : AttemptResult
-            What came of it.
+            Its result.
         targets : collection of TargetState
             All targets of the service.
         now : float
@@ -89,30 +89,30 @@
         elapsed = now - attempt.started
         match result:
             case Answered(failed=False, report=report):
-                self._learn_success(target, elapsed, report, now)
+                self._record_success(target, elapsed, report, now)
             case (
                 Answered(failed=True) | Lost() | NotRun(deadline=False, withdrawn=False)
             ):
-                self._learn_failure(target, elapsed, targets, now)
+                self._record_failure(target, elapsed, targets, now)
             case NotRun(withdrawn=True):
                 pass
             case TargetRefused(draining=draining, report=report):
-                self._learn_refusal(target, draining, report, now)
+                self._record_refusal(target, draining, report, now)
 
-    def learn_cut(
+    def record_cancellation(
         self, attempt: Attempt, targets: Collection[TargetState], now: float
     ) -> None:
-        """Take in that an attempt was cut off here before it had an answer."""
+        """Record that this daemon cancelled an attempt before its answer arrived."""
         target = attempt.target
         elapsed = now - attempt.started
         if elapsed > SLOW_TARGET_FACTOR * self.latency.usual > 0:
-            # A hedge won, or the caller left. A target that hangs gives no other
-            # sign: its attempts would always be cut before they fail.
-            self._learn_failure(target, elapsed, targets, now)
+            # A hedge was faster, or the caller disconnected. A target that hangs can
+            # only be detected here: its attempts are cancelled before they fail.
+            self._record_failure(target, elapsed, targets, now)
         elif elapsed > target.latency:
             target.note_latency(elapsed, self.settings.latency_gain, now)
 
-    def _learn_success(self, target, elapsed, report, now):
+    def _record_success(self, target, elapsed, report, now):
         was_out = bool(target.ejected_until)
         target.paused_until = 0.0
         target.refusals = 0
@@ -120,13 +120,15 @@
         self.latency.note(elapsed)
         self.ejector.note_success(target, now)
         if was_out:
-            self.forget_usable()
+            self.invalidate_usable()
             self.events.note(target.name, TargetCondition.RETURNED, by="answer")
         if report is not None:
-            self.learn_report(target, report, now)
+            self.record_report(target, report, now)
 
-    def learn_report(self, target: TargetState, report: LoadReport, now: float) -> None:
-        """Take in what a target says of its load."""
+    def record_report(
+        self, target: TargetState, report: LoadReport, now: float
+    ) -> None:
+        """Record the load that a target reports."""
         target.note_report(report, now)
         chooser = self.chooser
         step = target.others_load - chooser.mean_others_load
@@ -134,12 +136,12 @@
         load = report.in_use / target.record.slots
         self.reported_load += REPORTED_LOAD_GAIN * (load - self.reported_load)
 
-    def _learn_failure(self, target, elapsed, targets, now):
+    def _record_failure(self, target, elapsed, targets, now):
         slow = self.latency.usual * self.settings.failure_latency_factor
         target.note_latency(max(elapsed, slow), self.settings.latency_gain, now)
         was_out = bool(target.ejected_until)
         self.ejector.note_failure(target, targets, now)
-        self.forget_usable()
+        self.invalidate_usable()
         if target.ejected_until and not was_out:
             self.events.note(
                 target.name,
@@ -148,17 +150,17 @@
                 for_s=round(target.ejected_until - now, 3),
             )
 
-    def _learn_refusal(self, target, draining, report, now):
+    def _record_refusal(self, target, draining, report, now):
         if draining:
             until = now + self.settings.refusal_drain_s
             target.draining_until[DrainSource.REFUSAL] = until
-            self.forget_usable()
+            self.invalidate_usable()
         if target.back_off_until > now:
-            # It is well, and what it says of its load is why it wants rest.
+            # The target is healthy, and its load is the reason for the back-off.
             return
         doublings = min(target.refusals, MAX_REFUSAL_DOUBLINGS)
         target.refusals += 1
         target.paused_until = now + self.settings.refusal_pause_s * 2**doublings
         if report is not None:
-            self.learn_report(target, report, now)
-        self.forget_usable()
+            self.record_report(target, report, now)
+        self.invalidate_usable()
--- a/packages/policy/src/cairnferry/policy/search/_targetset.py
+++ b/packages/policy/src/cairnferry/policy/search/_targetset.py
@@ -1,11 +1,11 @@
-"""The targets of a service, and what one daemon has learnt of them."""
+"""Targets of a service, with the state that one daemon keeps of them."""
 
 import math
 import random
 from collections.abc import Container
 
 from cairnferry.policy._settings import PolicySettings
-from cairnferry.policy.choice import Chooser, Seeker, StatusCheckSettings
+from cairnferry.policy.choice import Chooser, StatusCheckChooser, StatusCheckSettings
 from cairnferry.policy.requests import (
     Attempt,
     AttemptResult,
@@ -13,8 +13,8 @@
     Cause,
     CheckStatus,
 )
-from cairnferry.policy.search._learning import Learning
-from cairnferry.policy.search._word_keeper import WordKeeper
+from cairnferry.policy.search._advisory_keeper import AdvisoryKeeper
+from cairnferry.policy.search._results import ResultRecorder
 from cairnferry.policy.shared import AdvisoryRegistry, PermitRequest, TargetLimits
 from cairnferry.policy.targets import (
     DrainSource,
@@ -30,13 +30,15 @@
 from cairnferry.policy.usable import CandidateLists, LimitedTargets, UsableTargets
 from cairnferry.records import Priority, Target
 
+# Seconds after the end of an ejection from which a successful probe returns a target.
 PROBE_RETURN_S = 5.0
-# Seconds for which the word of a check holds; the next check comes sooner.
-UNWELL_S = 0.5
+# Seconds for which the health that a status check reports is valid; the next status
+# check follows earlier.
+UNHEALTHY_S = 0.5
 
 
 class TargetSet:
-    """Learns from results and chooses targets.
+    """Chooses targets, and keeps their state up to date.
 
     Parameters
     ----------
@@ -45,16 +47,16 @@
     rng : random.Random
         Source of randomness.
     settings : PolicySettings
-        Constants.
+        Constants of the policy.
     limits : TargetLimits
-        Limits that targets name, and the permits to send to these.
-    holds : AdvisoryRegistry
-        What targets have asked of this daemon.
+        Rate limits of targets, and the permits to send to them.
+    advisories : AdvisoryRegistry
+        Back-offs and departures that targets announced.
 
     Attributes
     ----------
     events : EventLog
-        Changes in what is believed.
+        State changes of targets.
     """
 
     def __init__(
@@ -68,10 +70,10 @@
         self.settings = settings
         self.limits = limits
         self.events = EventLog()
-        self._words = WordKeeper(advisories, self.events)
+        self._advisories = AdvisoryKeeper(advisories, self.events)
         self._states: dict[str, TargetState] = {}
-        # From then on each target may be asked.
-        self._muted_until = -math.inf
+        # Time in seconds from which no target is skipped as unresponsive.
+        self._all_checkable_at = -math.inf
         self._usable = UsableTargets(zone, rng.random())
         self._limited = LimitedTargets(limits, zone)
         self._chooser = Chooser(
@@ -81,7 +83,9 @@
             settings.latency_memory_s,
             settings.ramp_s,
         )
-        self.seeker = Seeker(settings.seek or StatusCheckSettings(), rng)
+        self.check_chooser = StatusCheckChooser(
+            settings.status_checks or StatusCheckSettings(), rng
+        )
         self._ejector = Ejector(
             settings.eject_failures,
             settings.eject_base_s,
@@ -90,19 +94,19 @@
             settings.trial_timeout_s,
         )
 
-        self._learning = Learning(
+        self._results = ResultRecorder(
             settings, self._chooser, self._ejector, self.events, self._usable.invalidate
         )
 
     @property
     def latency(self) -> LatencyEstimate:
         """Answer times of the service."""
-        return self._learning.latency
+        return self._results.latency
 
     @property
     def reported_load(self) -> float:
         """Mean load that targets report, as a share of their slots."""
-        return self._learning.reported_load
+        return self._results.reported_load
 
     def __len__(self):
         return len(self._states)
@@ -111,10 +115,10 @@
         return iter(self._states.values())
 
     def update(self, targets: list[Target], now: float) -> None:
-        """Take in the records in force; what was learnt is kept."""
+        """Apply the records in force; the state of known targets is kept."""
         known = self._states
-        # A target that joins others gets its share slowly; a whole new service
-        # starts at once.
+        # A target that joins others ramps up slowly; the targets of a new service
+        # get their full share at once.
         start = now if known else -math.inf
         self._states = {}
         for target in targets:
@@ -122,36 +126,38 @@
             if state is None or state.record.address != target.address:
                 state = TargetState(target, target.identity, ready_since=start)
                 state.warm_at = now + target.warmup_s
-                self._words.recall(state)
+                self._advisories.restore(state)
             elif target.warmup_s not in (0, state.record.warmup_s):
-                # Cold once more under its name, or further on its way.
+                # The target is cold again under the same identity, or has warmed up
+                # further.
                 state.warm_at = now + target.warmup_s
             state.record = target
             self._states[target.identity] = state
         self._usable.invalidate()
 
     def evacuate(self, zones: frozenset[str]) -> None:
-        """Leave out the targets of these availability zones, and of no others."""
+        """Set the evacuated availability zones; their targets are not used."""
         self._usable.evacuated = zones
         self._usable.invalidate()
 
-    def begin_at(self, place: float) -> None:
-        """Take in where on the ring of targets this daemon begins, 0 to 1."""
-        if place != self._usable.ring_position:
-            self._usable.ring_position = place
+    def set_ring_position(self, ring_position: float) -> None:
+        """Set the position on the ring of targets where this daemon starts, 0 to 1."""
+        if ring_position != self._usable.ring_position:
+            self._usable.ring_position = ring_position
             self._usable.invalidate()
 
     # -- choosing ----------------------------------------------------------------
 
     def choose(self, call: Call, now: float) -> TargetState | None:
-        """Choose a target; None if each that may be used is full."""
-        usable = self._open_to(call, now)
+        """Choose a target by load; return None if all usable targets are full."""
+        usable = self._admissible_for(call, now)
         max_load = self.settings.full_load
         if call.priority is Priority.BACKGROUND:
             max_load = self.settings.background_load
         usual = self.latency.usual
         if self.limits:
-            # Its load is low by its limit, and the choice by load draws only some.
+            # A limited target has a low load because of its limit, but the choice by
+            # load compares only a sample and may miss it.
             permitted = self._limited.limited(usable.near)
             found = self._chooser.choose(permitted, [], now, usual, max_load)
             if found is not None:
@@ -160,55 +166,60 @@
                 self._limited.note_search_result(None, now)
         return self._chooser.choose(usable.near, usable.far, now, usual, max_load)
 
-    def seek(
+    def choose_by_checks(
         self, call: Call, work: float, urgent: bool, now: float
     ) -> TargetState | CheckStatus | None:
-        """Choose a target by what some say of themselves, or say which to ask.
+        """Choose a target by status checks, or return the targets to check first.
 
         Parameters
         ----------
         call : Call
-            The request; its search is moved on.
+            The request; its search state is updated.
         work : float
-            Seconds that such a request takes at an idle target; 0 if unknown.
+            Time in seconds of such a request at an idle target; 0 if unknown.
         urgent : bool
             Whether no other requests of the service are more urgent.
         now : float
             Time in seconds.
+
+        Returns
+        -------
+        TargetState, CheckStatus or None
+            None if no target can be used.
         """
         usable = self._candidates(call, now, urgent)
-        found = self.seeker.seek(call, usable.near, usable.far, work, now)
+        found = self.check_chooser.choose(call, usable.near, usable.far, work, now)
         if self.limits:
             self._limited.note_search_result(found, now)
         return found
 
-    def best_known(self, call: Call, now: float) -> TargetState | None:
-        """Choose a target without asking any."""
+    def choose_without_checks(self, call: Call, now: float) -> TargetState | None:
+        """Choose a target by earlier reports, without further status checks."""
         usable = self._candidates(call, now)
-        return self.seeker.best_known(usable.near, usable.far, now)
+        return self.check_chooser.choose_without_checks(usable.near, usable.far, now)
 
     def _candidates(self, call, now, urgent=True):
-        """List the targets that may be used, those not heard of only if need be."""
-        usable = self._open_to(call, now, urgent)
-        if now >= self._muted_until:
+        """List the usable targets; unresponsive ones only if there are no others."""
+        usable = self._admissible_for(call, now, urgent)
+        if now >= self._all_checkable_at:
             return usable
-        heard_near = [
+        answering_near = [
             target for target in usable.near if target.checks_suspended_until <= now
         ]
-        heard_far = [
+        answering_far = [
             target for target in usable.far if target.checks_suspended_until <= now
         ]
-        if heard_near or heard_far:
-            return CandidateLists(heard_near, heard_far)
+        if answering_near or answering_far:
+            return CandidateLists(answering_near, answering_far)
         return usable
 
-    def _open_to(self, call, now, urgent=True):
-        """List the usable targets to which a request may go now."""
-        left = self._left_for(call, now)
+    def _admissible_for(self, call, now, urgent=True):
+        """List the usable targets that may be sent a request now."""
+        left = self._untried_by(call, now)
         return self._limited.filter_by_limit(left, urgent, now) if self.limits else left
 
-    def _left_for(self, call, now):
-        """List the usable targets that a request has not tried."""
+    def _untried_by(self, call, now):
+        """List the usable targets that a request was not sent to."""
         near, far = self._usable.lists(self._states, now)
         if call.attempts:
             near = [target for target in near if not call.tried(target)]
@@ -216,25 +227,25 @@
         return CandidateLists(near, far)
 
     def next_permit(self, call: Call, urgent: bool, now: float) -> float | None:
-        """Give the time from which a request may go to a limited target.
+        """Return the time from which a request may be sent to a limited target.
 
-        As `LimitedTargets.next_permit`.
+        See `LimitedTargets.next_permit`.
         """
-        return self._limited.next_permit(self._left_for(call, now), urgent, now)
+        return self._limited.next_permit(self._untried_by(call, now), urgent, now)
 
     def permits_to_request(
         self, expected: int, barred: Container[str], now: float
     ) -> list[PermitRequest]:
-        """Give the permits that are worth asking for.
+        """Return the permits that are worth requesting.
 
-        As `LimitedTargets.permits_to_request`.
+        See `LimitedTargets.permits_to_request`.
         """
         usable = CandidateLists(*self._usable.lists(self._states, now))
         ejected = self._usable.ejected
         return self._limited.permits_to_request(usable, ejected, expected, barred, now)
 
     def choose_for_trial(self, call: Call, now: float) -> TargetState | None:
-        """Choose an ejected target for which it is time to be tested."""
+        """Choose an ejected target that is due for a trial request, or None."""
         if not self._usable.ejected or not call.idempotent or call.attempts:
             return None
         for target in self._usable.trial_candidates(self._states, now):
@@ -246,71 +257,73 @@
         return None
 
     def none_left_for(self, call: Call, start_by: float) -> bool:
-        """Tell whether no target is left that could take a request up to a time."""
+        """Return whether no untried target can be used for a request up to a time."""
         left = (each for each in self if not self._usable.is_out_until(each, start_by))
         return all(call.tried(target) for target in left)
 
-    def back_at(self, now: float) -> float | None:
-        """Give the time at which the first rest ends; None if a target is in use."""
+    def back_off_end(self, now: float) -> float | None:
+        """Return when the first back-off ends; None if any target is usable."""
         if any(self._usable.lists(self._states, now)):
             return None
-        rests = (each.back_off_until for each in self if each.back_off_until > now)
-        return min(rests, default=None)
+        back_offs = (each.back_off_until for each in self if each.back_off_until > now)
+        return min(back_offs, default=None)
 
     @property
     def are_evacuated(self) -> bool:
-        """Whether there are targets, and the zones of all of them are evacuated."""
+        """Whether there are targets and all of them are in evacuated zones."""
         zones = self._usable.evacuated
         return bool(zones and self) and all(t.record.zone in zones for t in self)
 
     @property
-    def cause_of_none(self) -> Cause:
-        """Why a request is given up for which no target is left."""
+    def no_target_cause(self) -> Cause:
+        """Cause for giving up a request for which no target is left."""
         return Cause.EVACUATED if self.are_evacuated else Cause.NO_TARGET
 
-    def most_are_sound(self, now: float) -> bool:
-        """Tell whether more than half of the targets did well last time."""
-        sound = sum(target.is_healthy(now) for target in self)
-        return 2 * sound > len(self)
+    def most_are_healthy(self, now: float) -> bool:
+        """Return whether more than half of the targets have a good last result."""
+        healthy_count = sum(target.is_healthy(now) for target in self)
+        return 2 * healthy_count > len(self)
 
-    # -- learning ----------------------------------------------------------------
+    # -- observations ------------------------------------------------------------
 
-    def learn(self, attempt: Attempt, result: AttemptResult, now: float) -> None:
-        """Take in the result of an attempt."""
-        self._learning.learn(attempt, result, self, now)
+    def record_result(
+        self, attempt: Attempt, result: AttemptResult, now: float
+    ) -> None:
+        """Record the result of an attempt."""
+        self._results.record_result(attempt, result, self, now)
 
-    def learn_cut(self, attempt: Attempt, now: float) -> None:
-        """Take in that an attempt was cut off here before it had an answer."""
-        self._learning.learn_cut(attempt, self, now)
+    def record_cancellation(self, attempt: Attempt, now: float) -> None:
+        """Record that this daemon cancelled an attempt before its answer arrived."""
+        self._results.record_cancellation(attempt, self, now)
 
     def note_draining(self, identity: str, source: DrainSource, until: float) -> None:
-        """Take in that a source calls a target leaving, up to a time."""
+        """Record that a source reports a target as draining, up to a time."""
         target = self._states.get(identity)
         if target is not None and target.draining_until.get(source, 0) != until:
             target.draining_until[source] = until
             self._usable.invalidate()
 
     def note_advisory(
-        self, identity: str, words: TargetAdvisory, now: float, heard_by: str | None
+        self, identity: str, advisory: TargetAdvisory, now: float, heard_by: str | None
     ) -> None:
-        """Take in what a target says of itself; as `ServiceState.note_advisory`."""
+        """Record an advisory; see `ServiceState.note_advisory`."""
         target = self._states.get(identity)
         name = identity if target is None else target.name
-        self._words.keep(identity, name, words, now, heard_by)
+        self._advisories.record(identity, name, advisory, now, heard_by)
         if target is not None:
-            self._words.recall(target)
+            self._advisories.restore(target)
             self._usable.invalidate()
 
     def note_check(
-        self, identity: str, report: LoadReport | None, well: bool, now: float
+        self, identity: str, report: LoadReport | None, healthy: bool, now: float
     ) -> None:
-        """Take in what a target said when it was asked; no report is no answer."""
+        """Record the answer to a status check; see `ServiceState.note_check`."""
         target = self._states.get(identity)
         if target is None:
             return
         target.checked_at = now
         if report is None:
-            # It would look idle by what it said last.
+            # By its last report the target would look idle.
             self._note_silence(target, now)
             return
         if target.missed_checks:
@@ -319,25 +332,27 @@
                 TargetCondition.RESPONSIVE,
                 after_checks=target.missed_checks,
             )
-        self._learning.learn_report(target, report, now)
-        if not well:
-            target.unhealthy_until = now + UNWELL_S
+        self._results.record_report(target, report, now)
+        if not healthy:
+            target.unhealthy_until = now + UNHEALTHY_S
 
     def note_warmup(self, identity: str, warm_at: float) -> None:
-        """Take in the time in seconds to which a target is slow, as it is cold."""
+        """Set the time in seconds up to which a cold target warms up and is slow."""
         target = self._states.get(identity)
         if target is not None:
             target.warm_at = warm_at
 
     def note_missed_check(self, identity: str, now: float) -> None:
-        """Take in that a target has not answered a check in time."""
+        """Record that a target did not answer a status check in time."""
         target = self._states.get(identity)
         if target is not None:
             self._note_silence(target, now)
 
     def _note_silence(self, target, now):
         target.note_missed_check(now)
-        self._muted_until = max(self._muted_until, target.checks_suspended_until)
+        self._all_checkable_at = max(
+            self._all_checkable_at, target.checks_suspended_until
+        )
         if target.missed_checks == 1:
             self.events.note(
                 target.name,
@@ -347,10 +362,10 @@
             )
 
     def note_probe(self, identity: str, healthy: bool, now: float) -> None:
-        """Take in the result of a probe.
+        """Record the result of a health probe.
 
-        A target that is out of use comes back by a trial request. Where none of
-        the requests may be sent twice, no trial is made, and a probe has to do.
+        An ejected target normally returns by a trial request. If none of the requests
+        is idempotent, no trial is made, and a successful probe returns the target.
         """
         target = self._states.get(identity)
         if target is None or not target.ejected_until or not healthy:
@@ -361,7 +376,7 @@
             self.events.note(target.name, TargetCondition.RETURNED, by="probe")
 
     def snapshot(self, now: float) -> list[dict]:
-        """Give the state for a dump, as plain values."""
+        """Return the state as plain values for a dump."""
         return [self._snapshot_of(target, now) for target in self]
 
     def _snapshot_of(self, target, now):
--- a/packages/policy/src/cairnferry/policy/shared/__init__.py
+++ b/packages/policy/src/cairnferry/policy/shared/__init__.py
@@ -1,4 +1,4 @@
-"""What binds all daemons together: limits, permits, blocked requests, checks."""
+"""State shared by all daemons: limits, permits, blocked requests and probe shares."""
 
 from cairnferry.policy.shared._advisories import AdvisoryRegistry, ExpiryRegistry
 from cairnferry.policy.shared._blocks import (
--- a/packages/policy/src/cairnferry/policy/shared/_blocks.py
+++ b/packages/policy/src/cairnferry/policy/shared/_blocks.py
@@ -1,4 +1,4 @@
-"""Ends of targets under requests, blocks, and what is decided about a request.
+"""Crashes of targets that run a request, blocks, and verdicts on requests.
 
 All times are monotonic seconds of one clock.
 """
@@ -7,33 +7,35 @@
 
 import attrs
 
-# Seconds after a block was set, and after each failed trial, at which one request may
-# try whether a target runs it by now; the pause grows by the factor up to the longest.
-# A release may have mended the targets, but each trial may cost one of them.
+# Seconds after a block is set, and after each failed trial, until one request may test
+# whether a target can run it. The delay grows by the factor, up to the maximum. A new
+# release may have fixed the targets, but each failed trial crashes one of them.
 FIRST_TRIAL_S = 20.0
 TRIAL_FACTOR = 4.0
 MAX_TRIAL_S = 3600.0
-# Seconds after a trial is due at which a block that nobody asks for is forgotten.
-FORGET_S = 24 * 3600.0
-# Seconds within which ends of one target are the same end, seen by several daemons. A
-# target takes longer to start, and may do so under the same name.
+# Seconds for which a block remains in effect after its next trial is due, if no caller
+# sends the request.
+TRIAL_WAIT_S = 24 * 3600.0
+# Seconds within which several reports of a target's crash, by several daemons, count as
+# one crash. A target takes longer than this to restart, which it may do under the same
+# name.
 SAME_CRASH_S = 1.0
-# Scope of a block that holds for all callers.
+# Scope of a block that applies to all callers.
 ALL_CALLERS = "*"
 
 
 @attrs.frozen
 class TargetCrash:
-    """A target that ended with a request in hand.
+    """A crash of a target while it ran a request.
 
     Attributes
     ----------
     target : str
-        Name of the target's start.
+        Identity of the target.
     caller : str
         Tag of the request's caller.
     started, ended : float
-        When the request was sent, and the target ended.
+        Times in seconds at which the request was sent and the target crashed.
     """
 
     target: str
@@ -42,7 +44,7 @@
     ended: float
 
     def is_same(self, other: "TargetCrash") -> bool:
-        """Tell whether both are one end, under requests of one caller."""
+        """Return whether both are reports of one crash, under one caller's requests."""
         if (self.target, self.caller) != (other.target, other.caller):
             return False
         return abs(self.ended - other.ended) < SAME_CRASH_S
@@ -50,17 +52,17 @@
 
 @attrs.frozen
 class Block:
-    """That a request is kept from targets.
+    """A block, which keeps a request from being sent to targets.
 
     Attributes
     ----------
     at : float
-        When the last of the targets that prove it ended.
+        Time in seconds of the last crash that justifies the block.
     since : float
-        When the first of the runs that prove it began: an answer after that disproves
-        it, also one that is heard of later.
+        Time in seconds at which the first run that justifies the block began. A
+        response after that time lifts the block, even if it is reported later.
     trials : int
-        Trials made.
+        Number of trials made.
     """
 
     at: float
@@ -69,25 +71,25 @@
 
     @property
     def next_trial(self) -> float:
-        """Time from which the next trial may be made."""
+        """Time in seconds from which the next trial may be made."""
         pauses = (FIRST_TRIAL_S * TRIAL_FACTOR**n for n in range(self.trials + 1))
         return self.at + sum(min(MAX_TRIAL_S, pause) for pause in pauses)
 
     def is_in_effect(self, now: float) -> bool:
-        """Tell whether it is in force."""
-        return now < self.next_trial + FORGET_S
+        """Return whether the block is in effect."""
+        return now < self.next_trial + TRIAL_WAIT_S
 
 
 @attrs.frozen
 class BlockRef:
-    """What a block is about.
+    """The request and the scope that a block applies to.
 
     Attributes
     ----------
     content : str
         Digest of the request.
     scope : str
-        Tag of the caller for which it holds, or `ALL_CALLERS`.
+        Tag of the caller that it applies to, or `ALL_CALLERS`.
     """
 
     content: str
@@ -96,17 +98,17 @@
 
 @attrs.frozen
 class Unrestricted:
-    """Nothing is held against the request."""
+    """Verdict: there is no evidence against the request."""
 
 
 @attrs.frozen
 class Suspect:
-    """Targets ended under the request.
+    """Verdict: targets crashed while they ran the request.
 
     Attributes
     ----------
-    alone : bool
-        Whether it is to be run by itself, and not sent on.
+    isolated : bool
+        Whether the request runs one at a time and is not retried.
     """
 
     isolated: bool
@@ -114,16 +116,16 @@
 
 @attrs.frozen
 class Quarantined:
-    """The request is kept from targets.
+    """Verdict: the request is blocked.
 
     Attributes
     ----------
     ref : BlockRef
-        Which block it is.
+        Request and scope of the block.
     block : Block
         The block.
     retry_after : float
-        Seconds until it may be tried again; 0 if it may be tried now.
+        Seconds until the next trial may be made; 0 if it may be made now.
     """
 
     ref: BlockRef
@@ -135,41 +137,43 @@
 UNRESTRICTED = Unrestricted()
 
 
-def runs_in_turn(ends: Iterable[TargetCrash]) -> list[TargetCrash]:
-    """Give the ends that prove something: each run began after the one before ended.
+def sequential_runs(crashes: Iterable[TargetCrash]) -> list[TargetCrash]:
+    """Return the crashes of sequential runs: each run began after the previous crash.
 
-    A rack that is lost, and a request that several daemons run at the same moment, are
-    one event, however many targets it takes.
+    A rack failure, or a request that several daemons run at the same time, counts as
+    one event, however many targets crash.
     """
     runs = []
-    for end in sorted(ends, key=lambda end: end.ended):
-        if not runs or end.started >= runs[-1].ended:
-            runs.append(end)
+    for crash in sorted(crashes, key=lambda crash: crash.ended):
+        if not runs or crash.started >= runs[-1].ended:
+            runs.append(crash)
     return runs
 
 
-def runs_of_several(ends: Collection[TargetCrash]) -> list[TargetCrash]:
-    """Give three runs in turn, of two callers or more; none if there are none.
+def sequential_runs_of_callers(crashes: Collection[TargetCrash]) -> list[TargetCrash]:
+    """Return three sequential runs by at least two callers, or an empty list.
 
-    Of all such the ones that begin last. Any three will do, not those in the chain of
-    `runs_in_turn`: which ones these are depends on ends that are heard of later, and
-    daemons that hear in another order would not come to the same end.
+    Among several such sets, the one that begins last is returned. The runs need not be
+    in the chain of `sequential_runs`: that chain depends on crashes that are reported
+    later, so daemons that receive reports in another order would decide differently.
     """
-    found = [_around(middle, ends) for middle in ends]
+    found = [_runs_around(middle, crashes) for middle in crashes]
     proofs = [runs for runs in found if runs]
     return max(proofs, key=lambda runs: runs[0].started, default=[])
 
 
-def _around(middle, ends):
-    """Give a run before and one after a run, so that not all three are one caller's."""
-    before = [end for end in ends if end.ended <= middle.started]
-    after = [end for end in ends if end.started >= middle.ended]
+def _runs_around(middle, crashes):
+    """Return a run, one before it and one after it, not all by the same caller."""
+    before = [crash for crash in crashes if crash.ended <= middle.started]
+    after = [crash for crash in crashes if crash.started >= middle.ended]
     last = max(
-        after, key=lambda end: (end.caller != middle.caller, end.ended), default=None
+        after,
+        key=lambda crash: (crash.caller != middle.caller, crash.ended),
+        default=None,
     )
     if last is None:
         return []
     if last.caller == middle.caller:
-        before = [end for end in before if end.caller != middle.caller]
-    first = max(before, key=lambda end: end.started, default=None)
+        before = [crash for crash in before if crash.caller != middle.caller]
+    first = max(before, key=lambda crash: crash.started, default=None)
     return [first, middle, last] if first is not None else []
--- a/packages/policy/src/cairnferry/policy/shared/_cold.py
+++ b/packages/policy/src/cairnferry/policy/shared/_cold.py
@@ -1,28 +1,28 @@
-"""Targets that are cold, and what they take from all daemons until they are warm.
+"""Targets that are cold, and the request rate that they tolerate until they are warm.
 
-A target that has just started, or lost what it had in its caches, tolerates a rate
-that its service's record names, and falls over well above it. Each daemon alone would
-send no more than usual, which in sum is too much.
+A target that has just started, or has lost its caches, tolerates the rate that the
+record of its service sets, and fails well above it. If each daemon sent its usual
+share, the sum would exceed that rate.
 
 All times are monotonic seconds of one clock.
 """
 
 import attrs
 
-# Seconds by which the end of coldness has to move for others to be told once more.
-WORTH_TELLING_S = 0.5
+# Seconds by which the end of a cold period has to move to be reported again to others.
+MIN_REPORTED_EXTENSION_S = 0.5
 
 
 @attrs.frozen
 class ColdPeriod:
-    """What is known of a cold target.
+    """The period during which a target is cold.
 
     Attributes
     ----------
     since, until : float
-        Times in seconds from which that is known, and to which it holds.
+        Times in seconds at which the period became known and at which it ends.
     per_s : float
-        Requests a second that it takes meanwhile.
+        Requests per second that the target tolerates, over all daemons.
     """
 
     since: float
@@ -32,37 +32,37 @@
 
 @attrs.define
 class ColdRegistry:
-    """Cold targets, by the names of their starts.
+    """Registry of cold targets, by target identity.
 
-    Words of the target itself, in answers to status checks, replace what was known.
-    What rows and other daemons tell may be older, and can only extend it: a target that
-    is spared for a second too long loses little.
+    A report by the target itself, in its response to a status check, replaces the known
+    period. Rows and reports by other daemons may be older, so they can only extend it:
+    limiting a target for a second too long costs little.
     """
 
     _cold: dict[str, ColdPeriod] = attrs.field(factory=dict)
     _rows: dict[str, float] = attrs.field(factory=dict)
 
     def __len__(self):
-        """Give the number of targets that are cold."""
+        """Return the number of cold targets."""
         return len(self._cold)
 
     def get(self, identity: str) -> ColdPeriod | None:
-        """Give what is known of a target; None if it is warm."""
+        """Return the cold period of a target; None if it is warm."""
         return self._cold.get(identity)
 
     def note_own_report(
         self, identity: str, until: float, per_s: float, now: float
     ) -> bool:
-        """Take in what a target says of itself; tell whether others should know.
+        """Record a report by the target itself; return whether to report it to others.
 
         Parameters
         ----------
         identity : str
-            Name of the target's start.
+            Identity of the target.
         until : float
-            Time in seconds to which it is cold; not after `now` if it is warm.
+            Time in seconds until which it is cold; not after `now` if it is warm.
         per_s : float
-            Requests a second that it takes until then.
+            Requests per second that it tolerates until then.
         now : float
             Time in seconds.
         """
@@ -72,10 +72,10 @@
             return False
         since = known.since if known else now
         self._cold[identity] = ColdPeriod(since, until, per_s)
-        return known is None or until > known.until + WORTH_TELLING_S
+        return known is None or until > known.until + MIN_REPORTED_EXTENSION_S
 
     def receive(self, identity: str, until: float, per_s: float, now: float) -> bool:
-        """Take in what another daemon tells; tell whether it was taken for warm."""
+        """Record a report by another daemon; return whether the target was warm."""
         known = self._cold.get(identity)
         if until <= now or (known and known.until >= until):
             return False
@@ -83,14 +83,14 @@
         return known is None
 
     def note_row(self, identity: str, until: float, per_s: float, now: float) -> bool:
-        """Take in what a target's row tells, each time only once; as `hear`."""
+        """Record the period in a target's row, each value only once; as `receive`."""
         if until <= now or self._rows.get(identity) == until:
             return False
         self._rows[identity] = until
         return self.receive(identity, until, per_s, now)
 
     def drop_warm(self, now: float) -> list[str]:
-        """Forget the targets that are warm by now; give them."""
+        """Remove the targets that are warm by now, and return them."""
         warm = [identity for identity, cold in self._cold.items() if cold.until <= now]
         for identity in warm:
             del self._cold[identity]
--- a/packages/policy/src/cairnferry/policy/shared/_identity.py
+++ b/packages/policy/src/cairnferry/policy/shared/_identity.py
@@ -1,34 +1,35 @@
-"""What makes a request the same as an earlier one."""
+"""Identity of a request, by which equal requests are recognized."""
 
 import hashlib
 
 import attrs
 
-# Bytes of the digests of a request's head and of its body. Two requests of a day with
-# the same 16 bytes would share what is believed of one of them; with 8 and 8 that takes
-# some 2**64 different requests.
+# Bytes of the digests of a request's head and of its body. Two requests of one day with
+# the same 16 bytes would share the evidence about one of them. With 8 and 8 bytes, such
+# a collision takes some 2**64 different requests.
 HEAD_BYTES = 8
 BODY_BYTES = 8
-# Bytes of the digest of a caller: it tells apart the callers of one request alone.
+# Bytes of the digest of a caller, which only has to distinguish the callers of one
+# request.
 CALLER_BYTES = 4
 
 
 @attrs.define(eq=False)
 class RequestIdentity:
-    """Tells a request that comes again from all others, whatever its ID.
+    """Content of a request that identifies it when it is repeated, under any ID.
 
-    Digests are made only when somebody asks for them: nearly all requests are never
-    compared with any other.
+    Digests are computed on first use, as nearly all requests are never compared with
+    another one.
 
     Parameters
     ----------
     method, host, path : str
-        Request line and Host; the path with its query. The host stands for the
-        workspace: equal paths of two of them are different requests.
+        Request line and Host; the path includes the query. The host identifies the
+        workspace: equal paths of two workspaces are different requests.
     body : bytes
-        Whole body.
+        Complete body.
     caller : str
-        Who sends it: its credentials, or else its address without the port.
+        Credentials of the caller, or else its address without the port.
     """
 
     method: str
@@ -49,24 +50,24 @@
 
     @property
     def content(self) -> str:
-        """Digest of the whole request; begins with `head`."""
+        """Digest of the complete request; begins with `head`."""
         if self._content is None:
             body = _digest(self.body, BODY_BYTES) if self.body else ""
             self._content = self.head + body
         return self._content
 
     def is_same(self, other: "RequestIdentity") -> bool:
-        """Tell whether both are the same request, whoever sends it."""
+        """Return whether both are the same request, by any caller."""
         return self.head == other.head and self.content == other.content
 
     @property
     def caller_tag(self) -> str:
-        """Digest of the caller; credentials must not stand in logs."""
+        """Digest of the caller, as credentials must not be logged."""
         return _digest(self.caller.encode(), CALLER_BYTES)
 
 
-def head_of(content: str) -> str:
-    """Give the digest of the head from that of a whole request."""
+def head_digest(content: str) -> str:
+    """Return the digest of the head, given the digest of the complete request."""
     return content[: 2 * HEAD_BYTES]
 
 
--- a/packages/policy/src/cairnferry/policy/shared/_limits.py
+++ b/packages/policy/src/cairnferry/policy/shared/_limits.py
@@ -1,8 +1,9 @@
-"""Limits that targets name: what holds, and what of it this daemon may use.
+"""Limits that targets advertise.
 
-A target in need names the requests a second that it takes from all daemons together.
-No daemon can keep that by what it knows itself: each would send as before, or an equal
-part, which for 2.6 a second at 300 daemons is no whole request for anybody.
+An overloaded target advertises the requests per second that it accepts from all daemons
+together. A daemon cannot keep such a limit on its own: it would send its usual rate, or
+an equal share, which for 2.6 requests per second and 300 daemons is less than one
+request per daemon.
 
 All times are monotonic seconds of one clock.
 """
@@ -11,28 +12,28 @@
 
 import attrs
 
-# What is held of a target that names no limit any more.
+# Limit of a target that advertises none, or no longer does.
 NO_LIMIT = math.inf
-# Requests a second that are sent for any limit, however low: a target that is sent
-# nothing says nothing, so that the end of its need would never be known.
-LEAST_RATE = 0.1
-# Limits that are kept, of targets that this daemon may not have heard of yet.
+# Requests per second that are sent at any lower limit. A target that receives no
+# requests sends no responses, so the end of its limit would never be observed.
+MIN_RATE_PER_S = 0.1
+# Maximum number of limits kept, including those of targets not yet known here.
 MAX_KEPT = 4096
-# Seconds for which a limit is kept of a target that is not listed: the word of others
-# may come before its row.
+# Seconds for which the limit of an unlisted target is kept, as a report by another
+# daemon may arrive before the target's row.
 UNLISTED_S = 60.0
 
 
 @attrs.frozen
 class AdvertisedLimit:
-    """What a target said last.
+    """Limit that a target advertised last.
 
     Attributes
     ----------
     per_s : float
-        Requests a second that it takes; `NO_LIMIT` if it names none.
+        Requests per second that the target accepts; `NO_LIMIT` if it advertises none.
     at : float
-        Time in seconds from which that counts.
+        Time in seconds from which the limit counts.
     """
 
     per_s: float
@@ -41,84 +42,84 @@
 
 @attrs.define
 class LimitRegistry:
-    """The last word of each target, in whatever order words come.
+    """Registry of the latest limit of each target; reports may arrive in any order.
 
-    A limit counts from when it was heard. That one is over counts from when the
-    request was sent whose answer says so: that answer may have been made before a
-    limit that was heard meanwhile.
+    A limit counts from the time its response was received. The end of a limit counts
+    from the time the request was sent, as its response may have been created before a
+    limit that was received in the meantime.
     """
 
-    _known: dict[str, AdvertisedLimit] = attrs.field(factory=dict)
+    _latest: dict[str, AdvertisedLimit] = attrs.field(factory=dict)
     _in_force: dict[str, float] = attrs.field(factory=dict)
 
     def __len__(self):
-        """Give the number of limits in force."""
+        """Return the number of limits in effect."""
         return len(self._in_force)
 
     @property
     def is_empty(self) -> bool:
-        """Whether no target has said anything of a limit."""
-        return not self._known
+        """Whether no target has advertised a limit, or the end of one."""
+        return not self._latest
 
     def note_answer(
-        self, identity: str, per_s: float, sent: float, heard: float
+        self, identity: str, per_s: float, sent: float, received: float
     ) -> bool:
-        """Take in an answer of a target; tell whether its limit is another one now.
+        """Record a response of a target; return whether this changes its limit.
 
         Parameters
         ----------
         identity : str
-            Name of the target's start.
+            Identity of the target.
         per_s : float
-            Limit that the answer names; `NO_LIMIT` if it names none.
-        sent, heard : float
-            Times in seconds of the request and of its answer.
+            Limit in the response, in requests per second; `NO_LIMIT` if it has none.
+        sent, received : float
+            Times in seconds at which the request was sent and its response received.
         """
-        known = self._known.get(identity)
+        known = self._latest.get(identity)
         if per_s == NO_LIMIT:
             if known is None or known.per_s == NO_LIMIT or sent <= known.at:
                 return False
             return self._set(identity, AdvertisedLimit(NO_LIMIT, sent))
         if known is not None and sent <= known.at:
-            # Both may be the later one. Keeping the lower burdens nobody.
+            # The target may have created either one last. The lower one is safe.
             per_s = min(per_s, known.per_s)
-        return self._set(identity, AdvertisedLimit(per_s, heard))
+        return self._set(identity, AdvertisedLimit(per_s, received))
 
-    def receive(self, identity: str, told: AdvertisedLimit) -> bool:
-        """Take in what another daemon knows; tell whether the limit is another one."""
-        known = self._known.get(identity)
-        if known is not None and known.at >= told.at:
+    def receive(self, identity: str, reported: AdvertisedLimit) -> bool:
+        """Record a report by another daemon; return whether this changes the limit."""
+        known = self._latest.get(identity)
+        if known is not None and known.at >= reported.at:
             return False
-        return self._set(identity, told)
+        return self._set(identity, reported)
 
     def _set(self, identity, limit):
         before = self.get(identity).per_s
-        self._known[identity] = limit
-        while len(self._known) > MAX_KEPT:
-            self._forget(next(iter(self._known)))
+        self._latest[identity] = limit
+        while len(self._latest) > MAX_KEPT:
+            self._forget(next(iter(self._latest)))
         if limit.per_s == NO_LIMIT:
             self._in_force.pop(identity, None)
         else:
-            self._in_force[identity] = max(LEAST_RATE, limit.per_s)
+            self._in_force[identity] = max(MIN_RATE_PER_S, limit.per_s)
         return limit.per_s != before
 
     def get(self, identity: str) -> AdvertisedLimit:
-        """Give the last word of a target."""
-        return self._known.get(identity, _NOTHING_SAID)
+        """Return the latest limit of a target."""
+        return self._latest.get(identity, _NOT_ADVERTISED)
 
     def rate(self, identity: str) -> float | None:
-        """Give the requests a second that all may send it; None for any number."""
+        """Return the total requests per second for a target; None if unlimited."""
         return self._in_force.get(identity)
 
     def in_force(self) -> dict[str, AdvertisedLimit]:
-        """Give the limits that hold, by the names of targets' starts."""
-        return {identity: self._known[identity] for identity in self._in_force}
+        """Return the limits in effect, by target identity."""
+        return {identity: self._latest[identity] for identity in self._in_force}
 
     def forget_unlisted(self, listed: set[str], now: float) -> list[str]:
-        """Drop what is known of targets that are gone; give those that had a limit."""
+        """Drop the limits of unlisted targets; return those that were in effect."""
         gone = [
             identity
-            for identity, limit in self._known.items()
+            for identity, limit in self._latest.items()
             if identity not in listed and limit.at < now - UNLISTED_S
         ]
         limited = [identity for identity in gone if identity in self._in_force]
@@ -127,8 +128,8 @@
         return limited
 
     def _forget(self, identity):
-        del self._known[identity]
+        del self._latest[identity]
         self._in_force.pop(identity, None)
 
 
-_NOTHING_SAID = AdvertisedLimit(NO_LIMIT, -math.inf)
+_NOT_ADVERTISED = AdvertisedLimit(NO_LIMIT, -math.inf)
--- a/packages/policy/src/cairnferry/policy/shared/_permits.py
+++ b/packages/policy/src/cairnferry/policy/shared/_permits.py
@@ -1,8 +1,8 @@
-"""Permits for what all daemons together may do so often, given out by one of them.
+"""Permits that limit a rate over all daemons, issued by one of them.
 
-A permit says when one request may be sent. They are given in the order in which they
-are asked for, a little ahead, so that a daemon has one when its next request comes, and
-no message lies in that request's path. What is not used comes back.
+A permit sets the time from which one request may be sent. Permits are issued in the
+order in which they are requested and a short time ahead, so that a daemon has one when
+its next request arrives and that request needs no message. Unused permits are returned.
 
 All times are monotonic seconds of one clock.
 """
@@ -11,32 +11,33 @@
 
 import attrs
 
-# Seconds ahead for which permits are given: several times what a call to a peer of
-# another zone takes, and a part of the time in which limits may change.
-AHEAD_S = 0.5
-# Seconds for which a permit may be used: most daemons of 300 get a request for a
-# service in that time. A window of 4 s holds what a fifth more time gives.
-PERMIT_S = 1.0
-# Seconds for which one that has just begun to give permits gives none: those of the one
-# before may be about to be used, and what these two give adds up.
+# Seconds ahead for which permits are issued. It is several times the duration of a call
+# to a peer in another zone, and a fraction of the time in which limits may change.
+ISSUE_AHEAD_S = 0.5
+# Seconds for which a permit may be used. Most of 300 daemons get a request for a
+# service in that time. A window of 4 s can thus contain the permits of a fifth more
+# time.
+PERMIT_LIFETIME_S = 1.0
+# Seconds for which a new permit issuer issues none. Permits of the previous issuer may
+# still be used, and would add to those of the new one.
 ISSUER_HOLD_OFF_S = 0.5
-# Seconds for which one that asked counts among those that do.
-ASKER_S = 3.0
-# Least and most seconds after which one that got none asks again.
+# Seconds for which a daemon counts as a requester after its last request for permits.
+REQUESTER_RETENTION_S = 3.0
+# Minimum and maximum seconds until a daemon that got no permits requests them again.
 MIN_RETRY_S = 0.05
 MAX_RETRY_S = 2.0
 
 
 @attrs.frozen
 class PermitGrant:
-    """The answer to one that asks for permits.
+    """Response to a request for permits.
 
     Attributes
     ----------
     delays : tuple of float
         Seconds from now after which each permit may be used.
     retry_s : float
-        Seconds after which to ask again.
+        Seconds after which to request permits again.
     """
 
     delays: tuple[float, ...]
@@ -45,70 +46,82 @@
 
 @attrs.define
 class PermitSchedule:
-    """Gives out permits for one target, one after the other, at its rate.
+    """Issues permits for one target, evenly spaced at its rate.
 
     Parameters
     ----------
     next_at : float
         Time in seconds of the next permit.
     rng : random.Random
-        Spreads those that come again.
+        Source of randomness that spreads the retries of requesters.
     """
 
     next_at: float
     rng: random.Random
-    _askers: dict[str, float] = attrs.field(factory=dict)
+    _requesters: dict[str, float] = attrs.field(factory=dict)
 
     @classmethod
     def begin(
         cls, now: float, rng: random.Random, hold_s: float = ISSUER_HOLD_OFF_S
     ) -> "PermitSchedule":
-        """Begin to give permits, after the hold."""
+        """Return a schedule that issues permits after `hold_s` seconds."""
         return cls(now + hold_s, rng)
 
-    def grant(self, asker: str, rate: float, wanted: int, now: float) -> PermitGrant:
-        """Give permits to one that asks.
+    def grant(
+        self, requester: str, rate: float, requested: int, now: float
+    ) -> PermitGrant:
+        """Issue permits to a daemon.
 
         Parameters
         ----------
-        asker : str
+        requester : str
             Name of the daemon.
         rate : float
-            Permits a second.
-        wanted : int
-            How many it asks for.
+            Permits per second.
+        requested : int
+            Number of permits that it requests.
         now : float
             Time in seconds.
+
+        Returns
+        -------
+        PermitGrant
+            The permits issued, and the delay until the next request.
         """
-        askers = self._count_askers(asker, now)
-        # What was not asked for is lost, but for the last one: who asks comes by.
+        requesters = self._count_requesters(requester, now)
+        # Permits that nobody requested expire, except the latest one, which the current
+        # requester gets at once.
         self.next_at = max(self.next_at, now - 1 / rate)
-        # One that asks for many leaves some to the others.
-        most = max(1, int(rate * AHEAD_S / askers))
+        # A daemon that requests many permits leaves some to the other requesters.
+        most = max(1, int(rate * ISSUE_AHEAD_S / requesters))
         delays = []
-        while len(delays) < min(wanted, most) and self.next_at <= now + AHEAD_S:
+        while (
+            len(delays) < min(requested, most) and self.next_at <= now + ISSUE_AHEAD_S
+        ):
             delays.append(max(0.0, self.next_at - now))
             self.next_at += 1 / rate
-        return PermitGrant(tuple(delays), self._retry_after(askers, rate, now))
-
-    def _count_askers(self, asker, now):
-        self._askers[asker] = now
-        if len(self._askers) > 1:
-            self._askers = {
-                name: at for name, at in self._askers.items() if at > now - ASKER_S
+        return PermitGrant(tuple(delays), self._retry_after(requesters, rate, now))
+
+    def _count_requesters(self, requester, now):
+        self._requesters[requester] = now
+        if len(self._requesters) > 1:
+            self._requesters = {
+                name: at
+                for name, at in self._requesters.items()
+                if at > now - REQUESTER_RETENTION_S
             }
-        return len(self._askers)
+        return len(self._requesters)
 
-    def _retry_after(self, askers, rate, now):
-        """Bring back as many as there are permits, spread over the time of all."""
-        first = max(MIN_RETRY_S, self.next_at - AHEAD_S - now)
-        spread = min(MAX_RETRY_S - first, (askers - 1) / rate)
+    def _retry_after(self, requesters, rate, now):
+        """Return a retry delay that spreads the requesters over the issued permits."""
+        first = max(MIN_RETRY_S, self.next_at - ISSUE_AHEAD_S - now)
+        spread = min(MAX_RETRY_S - first, (requesters - 1) / rate)
         return min(MAX_RETRY_S, first + self.rng.random() * max(0.0, spread))
 
     def return_unused(self, count: int, rate: float) -> None:
-        """Take back permits that were not used, for the next that ask."""
+        """Take back unused permits, for the next requests."""
         self.next_at -= count / rate
 
     def restart(self, rate: float, now: float) -> None:
-        """Go on at another rate: what was given before is void."""
+        """Continue at another rate; permits issued before are void."""
         self.next_at = now + 1 / rate
--- a/packages/policy/src/cairnferry/policy/shared/_quarantine.py
+++ b/packages/policy/src/cairnferry/policy/shared/_quarantine.py
@@ -1,10 +1,9 @@
-"""Requests that end the targets that run them: who is blamed, and until when.
+"""Quarantine of requests that crash the targets that run them (queries of death).
 
-One such request, sent on and asked for again, takes target after target from all
-others. An end proves little by itself, as a target has many requests in hand when it
-ends. So a request is blamed by what only it does: it is run again after an end, on a
-target that is well, and that one ends as well, and so a third time, while it never gets
-an answer.
+One such request, retried by daemons and callers, crashes target after target. A single
+crash proves little, as a target runs many requests at once. A request is blocked on
+evidence that only a query of death produces: after a crash it runs again on a healthy
+target, which crashes too, and then on a third one, and it never gets a response.
 
 All times are monotonic seconds of one clock.
 """
@@ -23,69 +22,70 @@
     Suspect,
     TargetCrash,
     Verdict,
-    runs_in_turn,
-    runs_of_several,
+    sequential_runs,
+    sequential_runs_of_callers,
 )
-from cairnferry.policy.shared._identity import RequestIdentity, head_of
-
-# Runs, each begun after the target of the one before had ended, that are proof enough.
-# With a tenth of all targets ending in the seconds in which a request is run, one that
-# is well is in hand at three such ends once in a thousand times; with two, once in a
-# hundred.
-ENDS_TO_BLOCK = 3
-# Runs from which a request is run by itself: at most one at a time at each daemon, and
-# not sent on. Below it one end is what any crash of a target brings to many requests,
-# and sending them on is what serves them.
-ENDS_TO_ISOLATE = 2
-# Callers under which the same request ends targets from which it is kept from all of
-# them. With one alone it may be that caller's data.
+from cairnferry.policy.shared._identity import RequestIdentity, head_digest
+
+# Crashes that justify a block, where each run began after the previous crash. If a
+# tenth of all targets crash in the seconds that a request runs, a harmless request is
+# in flight at three such crashes once in a thousand times, at two once in a hundred.
+CRASHES_TO_BLOCK = 3
+# Crashes from which a request is isolated: each daemon runs at most one at a time and
+# does not retry it. Below that, the crash of a target affects many harmless requests,
+# which a retry serves.
+CRASHES_TO_ISOLATE = 2
+# Number of callers under which the same request crashes targets, from which the request
+# is blocked for all callers. With one caller, that caller's data may be the cause.
 CALLERS_TO_BLOCK_ALL = 2
-# Seconds for which ends are kept in mind. A request that its caller sends every few
-# minutes would else never be blamed.
+# Seconds for which crashes and responses are kept as evidence. With a shorter time, a
+# request that its caller sends every few minutes would never be blocked.
 EVIDENCE_RETENTION_S = 600.0
-# Requests that are kept in mind, with ends and answers of each. A flood of requests
-# that each end a target would else fill an instance's memory; with these it takes
-# 6.6 MB (tracemalloc, all of them full).
+# Maximum number of requests with evidence, and of crashes and responses kept for each.
+# They bound the memory that a flood of requests that crash targets takes on an instance
+# to 6.6 MB (tracemalloc, all of them full).
 MAX_CASES = 1024
-MAX_ENDS = 24
+MAX_CRASHES = 24
 MAX_ANSWERS = 24
-# Seconds after which one that found another of its kind running may come back.
+# Retry delay in seconds for a request that is refused as an equal one is running.
 ISOLATED_RETRY_S = 1.0
-# Seconds after which one that found another one trying may come back.
+# Retry delay in seconds for a request that is refused as another one makes the trial.
 TRIAL_RETRY_S = 5.0
 
 
 @attrs.define
 class _Case:
-    """What is held against one request."""
+    """Evidence about one request, and its blocks by scope."""
 
-    ends: list[TargetCrash] = attrs.field(factory=list)
+    crashes: list[TargetCrash] = attrs.field(factory=list)
     answers: dict[str, float] = attrs.field(factory=dict)
     blocks: dict[str, Block] = attrs.field(factory=dict)
     running: int = 0
 
     def runs(self, scope):
-        """Give the runs, one after the other, that speak against a scope."""
+        """Return the crashes of sequential runs that count for a scope."""
         if scope != ALL_CALLERS:
-            return runs_in_turn(end for end in self.ends if end.caller == scope)
-        ends = self._ends_of_all()
-        if len({end.caller for end in ends}) < CALLERS_TO_BLOCK_ALL:
+            return sequential_runs(
+                crash for crash in self.crashes if crash.caller == scope
+            )
+        crashes = self._crashes_since_answers()
+        if len({crash.caller for crash in crashes}) < CALLERS_TO_BLOCK_ALL:
             return []
-        return runs_in_turn(ends)
+        return sequential_runs(crashes)
 
     def proof(self, scope):
-        """Give the runs that prove enough against a scope; none if there are none."""
+        """Return crashes that justify a block for a scope, or an empty list."""
         if scope == ALL_CALLERS:
-            return runs_of_several(self._ends_of_all())
-        runs = self.runs(scope)[-ENDS_TO_BLOCK:]
-        return runs if len(runs) == ENDS_TO_BLOCK else []
+            return sequential_runs_of_callers(self._crashes_since_answers())
+        runs = self.runs(scope)[-CRASHES_TO_BLOCK:]
+        return runs if len(runs) == CRASHES_TO_BLOCK else []
 
-    def _ends_of_all(self):
+    def _crashes_since_answers(self):
         last = self.answered_at(ALL_CALLERS)
-        return [end for end in self.ends if end.started >= last]
+        return [crash for crash in self.crashes if crash.started >= last]
 
     def block_for(self, caller):
-        """Give the scope and the block that holds for a caller, if there is one."""
+        """Return scope and block that apply to a caller; None if there is no block."""
         for scope in (ALL_CALLERS, caller):
             block = self.blocks.get(scope)
             if block is not None:
@@ -93,21 +93,26 @@
         return None
 
     def answered_at(self, scope):
-        """Give when an answer last cleared a scope; any answer clears all callers."""
+        """Return the time of the last response for a scope.
+
+        A response to any caller counts for the scope `ALL_CALLERS`.
+        """
         if scope == ALL_CALLERS:
             return max(self.answers.values(), default=-math.inf)
         return max(self.answers.get(who, -math.inf) for who in (ALL_CALLERS, scope))
 
     def drop_expired(self, now):
-        self.ends = [end for end in self.ends if now - end.ended < EVIDENCE_RETENTION_S]
+        self.crashes = [
+            crash for crash in self.crashes if now - crash.ended < EVIDENCE_RETENTION_S
+        ]
         self.blocks = {s: b for s, b in self.blocks.items() if b.is_in_effect(now)}
 
 
 class Quarantine:
-    """Keeps requests that end targets from further ones.
+    """Blocks requests that crash targets.
 
-    It holds what this daemon saw and what others tell; each decides by itself, and all
-    come to the same end as they hear the same.
+    The evidence comes from this daemon and from the reports of other daemons. Each
+    daemon decides on its own; daemons with the same evidence decide alike.
     """
 
     def __init__(self):
@@ -120,7 +125,7 @@
     # -- requests ----------------------------------------------------------------
 
     def check(self, identity: RequestIdentity, now: float) -> Verdict:
-        """Decide whether a request may be sent to a target."""
+        """Return the verdict on a request that is about to be sent to a target."""
         case = self._case_of(identity)
         if case is None:
             return UNRESTRICTED
@@ -132,10 +137,10 @@
             left = max(0.0, block.next_trial - now)
             return Quarantined(BlockRef(identity.content, scope), block, left)
         runs = max(len(case.runs(scope)) for scope in (ALL_CALLERS, caller))
-        return Suspect(runs >= ENDS_TO_ISOLATE) if runs else UNRESTRICTED
+        return Suspect(runs >= CRASHES_TO_ISOLATE) if runs else UNRESTRICTED
 
     def begin(self, identity: RequestIdentity) -> bool:
-        """Take in that a suspect is run; tell whether no other one of its kind is."""
+        """Record that a suspect request runs; return whether no equal one does."""
         case = self._case_of(identity)
         if case is None:
             return True
@@ -143,95 +148,102 @@
         return case.running == 1
 
     def finish(self, identity: RequestIdentity) -> None:
-        """Take in that a suspect is no longer run."""
+        """Record that a suspect request no longer runs."""
         case = self._case_of(identity)
         if case is not None and case.running:
             case.running -= 1
 
     def _case_of(self, identity):
-        # The digest of a body is made only for a request whose head is known.
+        # The body is hashed only if the digest of the head matches a known request.
         if not self._cases or identity.head not in self._heads:
             return None
         return self._cases.get(identity.content)
 
-    # -- what happens --------------------------------------------------------------
+    # -- evidence and blocks -------------------------------------------------------
 
-    def note_crash(self, content: str, end: TargetCrash, now: float) -> bool:
-        """Take in an end; tell whether it was news that counts.
+    def note_crash(self, content: str, crash: TargetCrash, now: float) -> bool:
+        """Record a crash; return whether it is new evidence.
 
         Parameters
         ----------
         content : str
             Digest of the request.
-        end : TargetCrash
-            The end.
+        crash : TargetCrash
+            The crash.
         now : float
             Time in seconds.
+
+        Returns
+        -------
+        bool
+            False if the crash is known, or if its run began before a response that
+            clears the caller.
         """
-        case = self._cases.get(content) or self._open(content)
-        if end.started < case.answered_at(end.caller):
+        case = self._cases.get(content) or self._open_case(content)
+        if crash.started < case.answered_at(crash.caller):
             return False
-        if any(end.is_same(other) for other in case.ends):
+        if any(crash.is_same(other) for other in case.crashes):
             return False
-        case.ends.append(end)
-        del case.ends[:-MAX_ENDS]
+        case.crashes.append(crash)
+        del case.crashes[:-MAX_CRASHES]
         case.drop_expired(now)
         self._cases.move_to_end(content)
         return True
 
     def block_if_proven(self, content: str, now: float) -> list[tuple[BlockRef, Block]]:
-        """Set the blocks that the ends of a request prove; give those that are new.
+        """Set the blocks that the crashes of a request justify; return the new ones.
 
-        All of them at once: one that waited for the next end would be missing at a
-        daemon that hears of no further one.
+        All justified blocks are set at once. A block that was left for the next crash
+        would be missing on a daemon that receives no further report.
         """
         case = self._cases.get(content)
         if case is None or ALL_CALLERS in case.blocks:
             return []
         case.drop_expired(now)
-        callers = {end.caller for end in case.ends} - case.blocks.keys()
-        found = []
+        callers = {crash.caller for crash in case.crashes} - case.blocks.keys()
+        blocks_set = []
         for scope in (ALL_CALLERS, *sorted(callers)):
             runs = case.proof(scope)
             block = runs and Block(runs[-1].ended, runs[0].started)
             if block and self.apply_block(content, scope, block):
-                found.append((BlockRef(content, scope), block))
+                blocks_set.append((BlockRef(content, scope), block))
             if ALL_CALLERS in case.blocks:
                 break
-        return found
+        return blocks_set
 
     def is_suspected(self, identity: RequestIdentity) -> bool:
-        """Tell whether anything is held against a request."""
+        """Return whether there is evidence against a request."""
         case = self._case_of(identity)
-        return case is not None and bool(case.ends or case.blocks)
+        return case is not None and bool(case.crashes or case.blocks)
 
     def clear(self, content: str, caller: str, at: float) -> list[BlockRef]:
-        """Drop what was held against a request before it was answered; give the blocks.
-
-        One that ends each target that runs it gets no answer: whatever ended those
-        that it was in hand at, it was not this request.
+        """Drop evidence from before a response; return the blocks that are lifted.
 
-        What is left may still blame it: `block_if_proven` is to be called after it.
+        A request that crashes every target that runs it gets no response, so earlier
+        crashes have another cause. The remaining evidence may still justify a block:
+        call `block_if_proven` afterwards.
 
         Parameters
         ----------
         content : str
             Digest of the request.
         caller : str
-            Tag of the caller that got the answer; `ALL_CALLERS` clears it for all.
+            Tag of the caller that got the response; `ALL_CALLERS` clears the request
+            for all callers.
         at : float
-            Time in seconds of the answer.
+            Time in seconds of the response.
         """
-        # One of which no end is known yet as well: what comes first may come last here.
-        case = self._cases.get(content) or self._open(content)
+        # Reports arrive in any order, so a response is also recorded for a request
+        # without known crashes.
+        case = self._cases.get(content) or self._open_case(content)
         at = max(at, case.answers.pop(caller, at))
         case.answers[caller] = at
         while len(case.answers) > MAX_ANSWERS:
             del case.answers[next(iter(case.answers))]
-        case.ends = [
-            end
-            for end in case.ends
-            if end.started >= at or caller not in (ALL_CALLERS, end.caller)
+        case.crashes = [
+            crash
+            for crash in case.crashes
+            if crash.started >= at or caller not in (ALL_CALLERS, crash.caller)
         ]
         scopes = list(case.blocks) if caller == ALL_CALLERS else [ALL_CALLERS, caller]
         lifted = [s for s in scopes if s in case.blocks and case.blocks[s].since < at]
@@ -240,12 +252,13 @@
         return [BlockRef(content, scope) for scope in lifted]
 
     def apply_block(self, content: str, scope: str, block: Block) -> bool:
-        """Take in a block, set here or by another daemon; tell whether it is news.
+        """Apply a block set here or by another daemon; return whether it is new.
 
-        Of two the one with more trials goes: who made the last trial knows best.
+        A block with more trials replaces one with fewer, as the daemon that made the
+        last trial has the latest evidence.
         """
-        case = self._cases.get(content) or self._open(content)
-        # A run that began as the answer came is later than it, here as in `runs`.
+        case = self._cases.get(content) or self._open_case(content)
+        # A run that began at the time of the response counts as later, as in `runs`.
         if case.answered_at(scope) > block.since:
             return False
         known = case.blocks.get(scope)
@@ -258,18 +271,18 @@
         return True
 
     def block(self, ref: BlockRef) -> Block | None:
-        """Give a block, if it is set."""
+        """Return a block; None if it is not set."""
         case = self._cases.get(ref.content)
         return case and case.blocks.get(ref.scope)
 
     def is_block_over(self, ref: BlockRef, block: Block, now: float) -> bool:
-        """Tell whether a block has run out, or was lifted."""
+        """Return whether a block has expired or a later response lifted it."""
         case = self._cases.get(ref.content)
         answered = case.answered_at(ref.scope) if case else -math.inf
         return answered > block.since or not block.is_in_effect(now)
 
     def blocks(self, now: float) -> dict[BlockRef, Block]:
-        """Give all blocks that are in force."""
+        """Return all blocks in effect."""
         return {
             BlockRef(content, scope): block
             for content, case in self._cases.items()
@@ -279,16 +292,16 @@
 
     # -- bounds --------------------------------------------------------------------
 
-    def _open(self, content):
+    def _open_case(self, content):
         while len(self._cases) >= MAX_CASES:
-            self._drop(self._least_wanted())
+            self._drop(self._case_to_evict())
         self._cases[content] = case = _Case()
-        head = head_of(content)
+        head = head_digest(content)
         self._heads[head] = self._heads.get(head, 0) + 1
         return case
 
-    def _least_wanted(self):
-        """Give the request that was changed longest ago, best one without a block."""
+    def _case_to_evict(self):
+        """Return the least recently changed request, preferably one without a block."""
         for content, case in self._cases.items():
             if not case.blocks:
                 return content
@@ -296,17 +309,17 @@
 
     def _drop(self, content):
         del self._cases[content]
-        head = head_of(content)
+        head = head_digest(content)
         self._heads[head] -= 1
         if not self._heads[head]:
             del self._heads[head]
 
     def drop_expired(self, now: float) -> None:
-        """Forget requests against which nothing is held any more."""
+        """Drop expired evidence and blocks, and requests that have none left."""
         for content, case in list(self._cases.items()):
             case.drop_expired(now)
             case.answers = {
                 c: t for c, t in case.answers.items() if now - t < EVIDENCE_RETENTION_S
             }
-            if not (case.ends or case.blocks or case.answers or case.running):
+            if not (case.crashes or case.blocks or case.answers or case.running):
                 self._drop(content)
--- a/packages/policy/src/cairnferry/policy/shared/_target_limits.py
+++ b/packages/policy/src/cairnferry/policy/shared/_target_limits.py
@@ -1,4 +1,4 @@
-"""What of the limits of targets this daemon may use: the permits that it holds.
+"""Limits of targets, and the permits that this daemon has for them.
 
 All times are monotonic seconds of one clock.
 """
@@ -10,25 +10,26 @@
 
 from cairnferry.policy.shared._cold import ColdRegistry
 from cairnferry.policy.shared._limits import LimitRegistry
-from cairnferry.policy.shared._permits import PERMIT_S
+from cairnferry.policy.shared._permits import PERMIT_LIFETIME_S
 from cairnferry.records import Target
 
-# Seconds for which a permit is left to urgent requests, where all targets have limits:
-# a daemon gets some 10 requests a second. What none of them uses is then for any.
-URGENT_FIRST_S = 0.1
-# Of so many permits one is for any request from the start, so that no kind of request
-# gets nothing while more urgent ones want all that there is.
-OPEN_OF = 3
+# Seconds for which a permit is reserved for urgent requests if all targets have limits;
+# after that any request may use it. A daemon gets some 10 requests per second, about
+# one within this time.
+URGENT_RESERVED_S = 0.1
+# One of this many permits is open to any request from the start, so that less urgent
+# requests are served even if urgent ones could use every permit.
+OPEN_PERMIT_INTERVAL = 3
 
 
 @attrs.frozen
 class Permit:
-    """May be used for one request.
+    """Permission to send one request to a target.
 
     Attributes
     ----------
     start, end : float
-        Times in seconds between which it may be used.
+        Times in seconds between which the permit may be used.
     open_at : float
         Time in seconds from which less urgent requests may use it.
     """
@@ -39,38 +40,38 @@
 
     @classmethod
     def starting(cls, start: float, is_open: bool) -> "Permit":
-        """Give a permit that may be used from a time on.
+        """Return a permit that may be used from a given time.
 
         Parameters
         ----------
         start : float
             Time in seconds.
         is_open : bool
-            Whether any request may use it from then on, however urgent.
+            Whether any request may use it from then on, not only urgent ones.
         """
-        open_at = start if is_open else start + URGENT_FIRST_S
-        return cls(start, start + PERMIT_S, open_at)
+        open_at = start if is_open else start + URGENT_RESERVED_S
+        return cls(start, start + PERMIT_LIFETIME_S, open_at)
 
     def first_use(self, urgent: bool, now: float) -> float:
-        """Give the time from which a request may use it; infinite if it is over."""
+        """Return the time from which a request may use it; infinity if it expired."""
         first = self.start if urgent else max(self.start, self.open_at)
         return max(first, now) if now < self.end else math.inf
 
     def fits(self, urgent: bool, now: float) -> bool:
-        """Tell whether a request may use it now."""
+        """Return whether a request may use it now."""
         return self.first_use(urgent, now) <= now
 
 
 @attrs.frozen
 class PermitRequest:
-    """Permits to ask for.
+    """Permits to request for one target.
 
     Attributes
     ----------
     target : Target
         Record of the target.
     count : int
-        How many.
+        Number of permits.
     """
 
     target: Target
@@ -79,56 +80,56 @@
 
 @attrs.define
 class TargetLimits:
-    """Limits that hold for all daemons, and the permits that this one has.
+    """Limits that apply to all daemons, and the permits that this daemon has.
 
-    A target has a limit if it names one, or while it is cold.
+    A target is limited if it advertises a limit, or while it is cold.
 
     Attributes
     ----------
-    book : LimitRegistry
-        Limits that targets name.
+    advertised : LimitRegistry
+        Limits that targets advertise.
     cold : ColdRegistry
         Targets that are cold.
     sent : dict of str to int
-        Requests sent to each target while it had a limit, by the names of their starts.
+        Requests sent to each target while it was limited, by target identity.
     """
 
     advertised: LimitRegistry = attrs.field(factory=LimitRegistry)
     cold: ColdRegistry = attrs.field(factory=ColdRegistry)
     sent: dict[str, int] = attrs.field(factory=dict)
     _permits: dict[str, deque[Permit]] = attrs.field(factory=dict)
-    _given: int = 0
+    _received_count: int = 0
 
     def __bool__(self):
-        """Tell whether any target has a limit."""
+        """Return whether any target is limited."""
         return len(self.advertised) > 0 or len(self.cold) > 0
 
     def rate(self, identity: str) -> float | None:
-        """Give the requests a second that a target takes; None for any number."""
-        named = self.advertised.rate(identity)
+        """Return the requests per second that a target accepts; None if unlimited."""
+        limit = self.advertised.rate(identity)
         cold = self.cold.get(identity)
         if cold is None:
-            return named
-        return cold.per_s if named is None else min(named, cold.per_s)
+            return limit
+        return cold.per_s if limit is None else min(limit, cold.per_s)
 
     def is_limited(self, identity: str) -> bool:
-        """Tell whether a target has a limit."""
+        """Return whether a target is limited."""
         return self.rate(identity) is not None
 
     def admits(self, identity: str, now: float) -> bool:
-        """Tell whether a request may be sent to a target now."""
+        """Return whether a request may be sent to a target now."""
         return not self.is_limited(identity) or self.has_permit(identity, now)
 
     def has_permit(self, identity: str, now: float, urgent: bool = True) -> bool:
-        """Tell whether a permit is there that a request may use now."""
+        """Return whether there is a permit that a request may use now."""
         held = self._permits.get(identity, ())
         return any(permit.fits(urgent, now) for permit in held)
 
     def spend(self, identity: str, urgent: bool, now: float) -> None:
-        """Use a permit, as a request is sent; nothing where there is no limit.
+        """Use a permit for a request that is sent; do nothing if there is no limit.
 
-        Urgent requests leave those that are open to any to the others, as long as there
-        are some that are not.
+        Urgent requests first use the permits that are reserved for them, and leave the
+        open ones to other requests.
         """
         if not self.is_limited(identity):
             return
@@ -140,34 +141,36 @@
             held.remove(choose(usable, key=lambda permit: permit.open_at))
 
     def add_permits(self, identity: str, starts: list[float]) -> None:
-        """Take in permits that were given, by the times from which they hold."""
+        """Add issued permits, given the times in seconds from which they are valid."""
         held = self._permits.setdefault(identity, deque())
         for start in starts:
-            self._given += 1
-            held.append(Permit.starting(start, self._given % OPEN_OF == 0))
+            self._received_count += 1
+            held.append(
+                Permit.starting(start, self._received_count % OPEN_PERMIT_INTERVAL == 0)
+            )
 
     def held(self, identity: str) -> int:
-        """Count the permits that are held, those for later too."""
+        """Return the number of permits available, including those valid only later."""
         return len(self._permits.get(identity, ()))
 
     def next_start(self, identity: str, urgent: bool, now: float) -> float:
-        """Give the time from which a request may use a permit; infinite without."""
+        """Return the time from which a request may use a permit; infinity if none."""
         held = self._permits.get(identity, ())
         return min((permit.first_use(urgent, now) for permit in held), default=math.inf)
 
     def discard_permits(self, identity: str) -> None:
-        """Drop the permits for a target, as they were given under another limit."""
+        """Drop the permits for a target, as they were issued under another limit."""
         self._permits.pop(identity, None)
 
     def pop_expired(self, now: float) -> dict[str, int]:
-        """Drop the permits whose time is over; count them by target."""
-        lapsed = {}
+        """Drop expired permits; return their numbers by target."""
+        expired = {}
         for identity, held in list(self._permits.items()):
             kept = deque(permit for permit in held if now < permit.end)
             if len(kept) < len(held):
-                lapsed[identity] = len(held) - len(kept)
+                expired[identity] = len(held) - len(kept)
             if kept:
                 self._permits[identity] = kept
             else:
                 del self._permits[identity]
-        return lapsed
+        return expired
--- a/packages/policy/src/cairnferry/policy/targets/__init__.py
+++ b/packages/policy/src/cairnferry/policy/targets/__init__.py
@@ -1,4 +1,4 @@
-"""What is known of a target: its state, its load, its latency, and when it is out."""
+"""State of targets: load, latency, ejection, advisories and events."""
 
 from cairnferry.policy.targets._advisory import (
     NO_ADVISORY,
--- a/packages/policy/src/cairnferry/policy/targets/_advisory.py
+++ b/packages/policy/src/cairnferry/policy/targets/_advisory.py
@@ -1,16 +1,16 @@
-"""What a target says of itself beside its answer."""
+"""Advisory headers by which a target describes its own state."""
 
 import attrs
 
 
 @attrs.frozen
 class AdvisoryFault:
-    """A header that cannot be read; it changes nothing.
+    """A malformed advisory header, which has no effect.
 
     Attributes
     ----------
     header, text : str
-        Its name, and what it says.
+        Name and value of the header.
     """
 
     header: str
@@ -19,18 +19,18 @@
 
 @attrs.frozen
 class TargetAdvisory:
-    """What an answer says of its target.
+    """Advisory of a target about itself, from the headers of a response.
 
     Attributes
     ----------
-    rest_s : float
-        Seconds for which the target wants no requests of this daemon; 0 if it does not
-        say so.
+    back_off_s : float
+        Seconds for which the target requests that this daemon sends it no requests; 0
+        if it requests no back-off.
     leaving_s : float
-        Seconds for which its word that it is leaving holds; infinite where each start
-        of a target has a name of its own, 0 if it does not say so.
+        Seconds for which the announcement that the target is leaving is valid; 0 if
+        there is none. It is infinite if each start of a target has its own identity.
     faults : tuple of AdvisoryFault
-        What cannot be read.
+        Malformed headers.
     """
 
     back_off_s: float = 0.0
--- a/packages/policy/src/cairnferry/policy/targets/_ejection.py
+++ b/packages/policy/src/cairnferry/policy/targets/_ejection.py
@@ -1,7 +1,7 @@
-"""Taking failing targets out of use, and bringing them back.
+"""Ejection of failing targets, and their return.
 
-A target that fails at once looks idle: it answers fast and holds no slots. By
-load alone it would draw most of the traffic.
+A target that fails its requests at once seems idle: it responds fast and occupies no
+slots. Balancing by load alone would send it most of the traffic.
 """
 
 from collections.abc import Iterable
@@ -13,18 +13,19 @@
 
 @attrs.frozen
 class Ejector:
-    """Rules of ejection and return.
+    """Rules for the ejection and the return of targets.
 
     Parameters
     ----------
     failures : int
-        Failures in a row that eject a target.
+        Number of consecutive failures after which a target is ejected.
     base, longest : float
-        Seconds out of use the first time, doubled each time up to the longest.
+        Seconds from the first ejection until a trial, doubled with each further
+        ejection or failed trial, and their maximum.
     share : float
-        Largest share of targets out of use.
+        Maximum share of targets that are ejected, 0 to 1.
     trial_timeout : float
-        Seconds after which a trial without result no longer blocks the next.
+        Seconds after which a trial without result no longer prevents the next one.
     """
 
     failures: int
@@ -34,7 +35,7 @@
     trial_timeout: float
 
     def note_success(self, target: TargetState, now: float) -> None:
-        """Bring a target back, with a ramp, if it was out of use."""
+        """Record a success; return an ejected target to use, with a gradual ramp-up."""
         target.failures = 0
         if target.ejected_until:
             target.ejected_until = 0.0
@@ -45,7 +46,7 @@
     def note_failure(
         self, target: TargetState, targets: Iterable[TargetState], now: float
     ) -> None:
-        """Count a failure and eject the target if it is time to."""
+        """Record a failure, and eject the target if the rules require it."""
         target.failures += 1
         if target.ejected_until:
             self._eject(target, now)
@@ -53,8 +54,8 @@
             self._eject(target, now)
 
     def _may_eject(self, targets):
-        # If most targets fail, the cause lies elsewhere; the rest would get all
-        # the load.
+        # If most targets fail, the cause lies elsewhere, and the remaining targets
+        # would get the whole load.
         states = list(targets)
         ejected = sum(1 for state in states if state.ejected_until)
         return ejected + 1 <= self.share * len(states)
@@ -65,7 +66,7 @@
         target.ejected_until = now + duration
 
     def is_trial_due(self, target: TargetState, now: float) -> bool:
-        """Tell whether one request may test an ejected target now."""
+        """Return whether one request may test an ejected target now."""
         if not target.ejected_until or now < target.ejected_until:
             return False
         return now - target.trial_started >= self.trial_timeout or not target.in_flight
--- a/packages/policy/src/cairnferry/policy/targets/_events.py
+++ b/packages/policy/src/cairnferry/policy/targets/_events.py
@@ -1,16 +1,16 @@
-"""Changes in what the policy believes of a target, for those who log them."""
+"""Events that report changes in the assumed condition of targets, for logging."""
 
 import enum
 from collections import deque
 
 import attrs
 
-# Events kept until they are taken; a driver takes them after each result.
+# Maximum number of events kept. A driver takes them after each result.
 MAX_KEPT = 256
 
 
 class TargetCondition(enum.StrEnum):
-    """What is believed from now on."""
+    """Condition of a target that the policy assumes from now on."""
 
     EJECTED = "ejected"
     RETURNED = "returned"
@@ -22,16 +22,16 @@
 
 @attrs.frozen
 class TargetEvent:
-    """A change.
+    """A change in the condition of a target.
 
     Attributes
     ----------
     target : str
         Name of the target.
-    belief : TargetCondition
-        What is believed now.
+    condition : TargetCondition
+        New condition.
     inputs : dict
-        What decided it.
+        Values on which the decision is based, for the log.
     """
 
     target: str
@@ -41,7 +41,7 @@
 
 @attrs.define
 class EventLog:
-    """Events in their order; the oldest are dropped if nobody takes them."""
+    """Queue of events in order; the oldest ones are dropped if it is full."""
 
     _events: deque[TargetEvent] = attrs.field(factory=lambda: deque(maxlen=MAX_KEPT))
 
@@ -50,7 +50,7 @@
         self._events.append(TargetEvent(target, condition, inputs))
 
     def take(self) -> list[TargetEvent]:
-        """Give the events since the last call."""
+        """Return the events since the last call, and remove them."""
         taken = list(self._events)
         self._events.clear()
         return taken
--- a/packages/policy/src/cairnferry/policy/targets/_latency.py
+++ b/packages/policy/src/cairnferry/policy/targets/_latency.py
@@ -1,11 +1,13 @@
-"""Streaming estimates of a service's answer times."""
+"""Streaming estimates of a service's response times."""
 
 import attrs
 
+# Weight of a new sample in the mean, 0 to 1.
 MEAN_GAIN = 0.05
+# Step of the quantile estimate, as a share of its value.
 QUANTILE_STEP = 0.05
-# Samples from which the estimates say what to expect. The first ones may all come from
-# one moment at which this process was held up.
+# Samples from which the estimates are used. The first ones may all come from one moment
+# at which this process was delayed.
 MIN_SAMPLES = 8
 
 
@@ -21,11 +23,11 @@
     Attributes
     ----------
     usual : float
-        Mean in seconds, in which slow answers count little; 0 if unknown.
+        Mean in seconds, in which the weight of slow responses is limited; 0 if unknown.
     high : float
         The quantile in seconds; 0 if unknown.
     samples : int
-        Answer times taken in so far.
+        Number of response times added so far.
     """
 
     quantile: float
@@ -35,22 +37,22 @@
 
     @property
     def expected(self) -> float:
-        """Seconds that an answer takes on the whole; 0 while too few were seen."""
+        """Mean response time in seconds; 0 with fewer than `MIN_SAMPLES` samples."""
         return self.usual if self.samples >= MIN_SAMPLES else 0.0
 
     @property
     def longest(self) -> float:
-        """Seconds that an answer may well take; 0 while too few were seen."""
+        """Longest usual response time in seconds; 0 with fewer than `MIN_SAMPLES`."""
         return max(self.usual, self.high) if self.samples >= MIN_SAMPLES else 0.0
 
     def note(self, sample: float) -> None:
-        """Take in an answer time in seconds."""
+        """Add a response time in seconds."""
         self.samples += 1
         if self.usual == 0.0:
             self.usual = sample
             self.high = 2 * sample
             return
-        # A few very slow answers must not make slow look usual.
+        # Limits the effect of a few very slow responses on the mean.
         bounded = min(sample, 4 * self.usual)
         self.usual += MEAN_GAIN * (bounded - self.usual)
         step = QUANTILE_STEP * self.high
--- a/packages/policy/src/cairnferry/policy/targets/_report.py
+++ b/packages/policy/src/cairnferry/policy/targets/_report.py
@@ -1,18 +1,18 @@
-"""What a target says of its load."""
+"""Load reports of targets."""
 
 import attrs
 
 
 @attrs.frozen
 class LoadReport:
-    """What a target says of its load.
+    """Load that a target reports.
 
     Attributes
     ----------
     in_use : float
-        Requests that it runs or holds in its own queue.
-    pace : float
-        How long work takes there at this moment, as a multiple of the usual.
+        Requests that the target runs or has in its own queue.
+    slowdown : float
+        Current duration of work at the target, as a multiple of the usual duration.
     """
 
     in_use: float
--- a/packages/policy/src/cairnferry/policy/targets/_target.py
+++ b/packages/policy/src/cairnferry/policy/targets/_target.py
@@ -1,4 +1,4 @@
-"""What one daemon knows of one target."""
+"""State and estimates that one daemon keeps for one target."""
 
 import enum
 import math
@@ -10,17 +10,18 @@
 from cairnferry.records import Lifecycle, Target
 
 UNKNOWN_LATENCY_S = 0.0
-# Answers this many times slower than usual are taken for a slow target.
+# A target counts as slow if its response time exceeds the usual one by this factor.
 SLOW_TARGET_FACTOR = 2.0
+# Weight of a new response time that is slower than the estimate by this factor, 0 to 1.
 SLOW_GAIN = 0.7
-# Seconds for which a target is not asked again after it gave no answer in time, and
-# how often that is doubled. Each request that asks it waits 30 ms for nothing.
-MUTE_S = 0.3
-MAX_MUTE_DOUBLINGS = 3
+# Seconds for which a target gets no status checks after it missed one, and how often
+# that is doubled. Each request that checks such a target waits 30 ms for nothing.
+CHECK_SUSPENSION_S = 0.3
+MAX_SUSPENSION_DOUBLINGS = 3
 
 
 class DrainSource(enum.StrEnum):
-    """Who says that a target is leaving; any one suffices."""
+    """Source of the report that a target is leaving; any one is sufficient."""
 
     RECORD = "record"
     HEALTH = "health"
@@ -31,14 +32,14 @@
 
 @attrs.frozen
 class ReportTrust:
-    """How far a target's report of its load is believed.
+    """Weight of a target's load report in the estimate of its load.
 
     Attributes
     ----------
     weight : float
-        Weight of a fresh report against what is usual, 0 to 1.
+        Weight of a new report against the usual load, 0 to 1.
     decay : float
-        Age in seconds at which that has fallen to 1/e.
+        Age of a report in seconds at which its weight has fallen to 1/e.
     """
 
     weight: float
@@ -47,40 +48,60 @@
 
 @attrs.define(eq=False)
 class TargetState:
-    """Estimates for one target.
+    """State and estimates of one target; times are in seconds.
 
     Attributes
     ----------
     record : Target
-        Its record.
+        Record of the target.
     identity : str
-        Name of this start of it.
+        Identity of this start of the target.
     in_flight : int
-        Own requests without result.
+        Requests of this daemon that have no result yet.
     starts : deque of float
-        Times at which the own requests in flight were sent.
+        Times at which the requests in flight were sent.
     latency : float
-        Weighted mean of answer times in seconds; 0 if unknown.
+        Weighted mean of response times in seconds; 0 if unknown.
+    latency_at : float
+        Time of the last response.
+    others_load : float
+        Share of the slots that other daemons used at the last report.
+    reported_at : float
+        Time of the last report; minus infinity if none is valid.
+    paused_until : float
+        Time until which the target gets no requests, as it refused some.
+    failures : int
+        Consecutive failures.
+    ejections : int
+        Recent ejections and failed trials, which lengthen the next ejection.
     ready_since : float
-        Time from which its share grows.
+        Time from which the target's share of requests grows.
     ejected_until : float
-        Time of the next trial; 0 if it is in use.
-    pace : float
-        How long work took there at the last report, as a multiple of the usual.
+        Time of the next trial; 0 if the target is not ejected.
+    trial_started : float
+        Time of the last trial.
+    draining_until : dict of DrainSource to float
+        Time until which each source reports that the target is leaving.
+    refusals : int
+        Consecutive refusals.
+    sent : int
+        Requests sent to the target.
+    slowdown : float
+        Duration of work at the last report, as a multiple of the usual duration.
     reported_in_use : float
-        Requests there at the last report.
+        Requests at the target at the last report.
     warm_at : float
-        Time to which it is slow after its start.
-    unwell_until : float
-        Time to which its last check that said so counts.
+        Time until which the target is slow after its start.
+    unhealthy_until : float
+        Time until which the last status check that reported bad health is valid.
     checked_at : float
-        Time of the last check, answered or not.
-    unheard : int
-        Checks in a row that were not answered in time.
-    mute_until : float
-        Time to which it is not asked, after such a check.
-    resting_until : float
-        Time to which it wants no requests, by its own word.
+        Time of the last status check, answered or not.
+    missed_checks : int
+        Consecutive status checks without a response in time.
+    checks_suspended_until : float
+        Time until which no status checks are made after a missed one.
+    back_off_until : float
+        Time until which the target requested a back-off.
     """
 
     record: Target
@@ -115,103 +136,103 @@
         return self.record.name
 
     def is_draining(self, now: float) -> bool:
-        """Tell whether any source says that it is leaving."""
+        """Return whether any source reports that the target is leaving."""
         if self.record.lifecycle is Lifecycle.DRAINING:
             return True
         draining = self.draining_until
         return bool(draining) and any(until > now for until in draining.values())
 
     def is_unavailable(self, now: float) -> bool:
-        """Tell whether it rests or leaves, so that nothing more may be sent to it."""
+        """Return whether a back-off or a drain forbids sending it requests."""
         return self.back_off_until > now or self.is_draining(now)
 
     def is_healthy(self, now: float) -> bool:
-        """Tell whether its last result was good and nobody says that it leaves."""
+        """Return whether the last result was good and the target is not draining."""
         return not self.failures and not self.refusals and not self.is_draining(now)
 
     def load(self, now: float, trust: ReportTrust, mean_others_load: float) -> float:
-        """Estimate the requests at the target as a share of its slots.
+        """Return an estimate of the requests at the target, as a share of its slots.
 
         Parameters
         ----------
         now : float
             Time in seconds.
         trust : ReportTrust
-            How far reports are believed.
-        usual_others : float
-            Share of a target's slots that other daemons use on the whole.
+            Weight of load reports.
+        mean_others_load : float
+            Mean share of a target's slots that other daemons use.
 
         Notes
         -----
-        Own requests are known. Those of other daemons were so many when the
-        last report was made; as it ages, the estimate moves to what is usual.
-        Moving to none instead would make those look idle of which least is
-        known, and all daemons would send there.
+        The requests of this daemon are known. Those of other daemons are known from the
+        last report; as the report ages, the estimate approaches the usual share. If it
+        approached zero instead, the targets with the oldest reports would seem idle,
+        and all daemons would send their requests there.
         """
         weight = trust.weight * math.exp((self.reported_at - now) / trust.decay)
         others = mean_others_load + (self.others_load - mean_others_load) * weight
         return self.in_flight / self.record.slots + others
 
     def slowness(self, now: float, usual: float, memory: float) -> float:
-        """Estimate the answer time as a multiple of the usual one.
+        """Return an estimate of the response time, as a multiple of the usual one.
 
         Parameters
         ----------
         now : float
             Time in seconds.
         usual : float
-            Answer time of the service in seconds; 0 if unknown.
+            Response time of the service in seconds; 0 if unknown.
         memory : float
-            Age in seconds at which a slow target is half forgotten.
+            Half-life in seconds of the excess over the usual response time.
 
         Returns
         -------
         float
-            1 unless the target is clearly slower: answer times vary, and
-            following each of them would undo the balance of the load.
+            1 unless the target exceeds `SLOW_TARGET_FACTOR`. Response times vary, and
+            following smaller differences would unbalance the load.
 
         Notes
         -----
-        A target that became slow shows first in requests that should have been
-        answered by now. Waiting for their answers would send it many more.
+        The age of the oldest request in flight shows that a target has become slow
+        before its response arrives. Until then the target would get many more requests.
         """
         if not usual:
             return 1.0
         slow = self.latency / usual
         if slow > SLOW_TARGET_FACTOR:
-            # A slow target gets few requests, so its estimate would stay as it
-            # was for ever. It fades towards the usual, and is tried again.
+            # A slow target gets few requests, so its estimate would never change. It
+            # decays towards the usual value, so that the target is tried again.
             slow = 1 + (slow - 1) * 0.5 ** ((now - self.latency_at) / memory)
         if self.starts:
             slow = max(slow, (now - self.starts[0]) / usual)
         return slow if slow > SLOW_TARGET_FACTOR else 1.0
 
     def note_sent(self, now: float) -> None:
-        """Count a request that is sent."""
+        """Record that a request is sent."""
         self.in_flight += 1
         self.sent += 1
         self.starts.append(now)
 
     def note_finished(self, started: float) -> None:
-        """Count a request that ended."""
+        """Record that a request finished, given the time at which it was sent."""
         self.in_flight -= 1
         self.starts.remove(started)
 
     def note_latency(self, sample: float, gain: float, now: float) -> None:
-        """Take in an answer time in seconds."""
+        """Update the latency with a response time in seconds."""
         if self.latency == UNKNOWN_LATENCY_S:
             self.latency = sample
         elif sample > SLOW_TARGET_FACTOR * self.latency:
-            # The next requests go elsewhere the sooner this is believed.
+            # The large gain diverts the next requests to other targets soon.
             self.latency += SLOW_GAIN * (sample - self.latency)
         else:
             self.latency += gain * (sample - self.latency)
         self.latency_at = now
 
     def note_report(self, report: LoadReport, now: float) -> None:
-        """Take in a report that came with an answer.
+        """Record a report that came with a response.
 
-        The answered request has already been counted out on both sides.
+        The request of that response no longer counts, here or in the report.
         """
         others = max(0.0, report.in_use - self.in_flight)
         self.others_load = others / self.record.slots
@@ -222,15 +243,17 @@
         self.checks_suspended_until = -math.inf
 
     def note_missed_check(self, now: float) -> None:
-        """Take in that it did not answer a check in time."""
+        """Record that the target did not respond to a status check in time."""
         self.checked_at = now
         self.reported_at = -math.inf
-        pause = MUTE_S * 2 ** min(self.missed_checks, MAX_MUTE_DOUBLINGS)
+        pause = CHECK_SUSPENSION_S * 2 ** min(
+            self.missed_checks, MAX_SUSPENSION_DOUBLINGS
+        )
         self.missed_checks += 1
         self.checks_suspended_until = now + pause
 
     def expected_in_use(self) -> float:
-        """Give the requests there at the last report and those sent since."""
+        """Return the requests at the last report plus those sent since."""
         since = 0
         for started in reversed(self.starts):
             if started < self.reported_at:
--- a/packages/policy/src/cairnferry/policy/usable/__init__.py
+++ b/packages/policy/src/cairnferry/policy/usable/__init__.py
@@ -1,4 +1,8 @@
-"""Which targets may be used: leaving, evacuated, ejected, limited and cold ones."""
+"""Selection of usable targets.
+
+Draining, evacuated, ejected and paused targets and those that back off are excluded;
+limited and cold targets need a permit.
+"""
 
 from cairnferry.policy.usable._limited_targets import CandidateLists, LimitedTargets
 from cairnferry.policy.usable._usable import UsableTargets
--- a/packages/policy/src/cairnferry/policy/usable/_limited_targets.py
+++ b/packages/policy/src/cairnferry/policy/usable/_limited_targets.py
@@ -1,7 +1,7 @@
-"""Which limited targets a request may go to, and which permits to ask for.
+"""Selection of limited targets for a request, and of the permits to request.
 
-All daemons together send a limited target what it takes and no more: one without a
-permit is no candidate, and one with a permit goes before targets without a limit.
+All daemons together send a limited target no more than it accepts. A limited target
+without a permit is no candidate; one with a permit precedes targets without a limit.
 """
 
 import math
@@ -13,25 +13,26 @@
 from cairnferry.policy.shared import PermitRequest, TargetLimits
 from cairnferry.policy.targets import TargetState
 
-# Limited targets of the own zone, and of others, for which a daemon asks for permits:
-# the ones that it would choose from anyway.
-NEAR_REACH = 8
-FAR_REACH = 8
-# Of those that are out of use, so many at a time: each needs one for its trial.
-EJECTED_REACH = 2
-# Seconds for which permits for targets of other zones are asked for, after a request
-# that looked for one there. They would else be held and not used.
-FAR_WANTED_S = 1.0
+# Limited targets of the own zone, and of other zones, for which a daemon requests
+# permits. These are the ones that it would choose from anyway.
+NEAR_PERMIT_TARGETS = 8
+FAR_PERMIT_TARGETS = 8
+# Ejected targets for which permits are requested at a time. Each needs one permit for
+# its trial.
+EJECTED_PERMIT_TARGETS = 2
+# Seconds for which permits for targets of other zones are requested after a search that
+# reached those zones. At other times such permits would not be used.
+FAR_PERMITS_S = 1.0
 
 
 @attrs.frozen
 class CandidateLists:
-    """Targets that are in use, in the order in which they are asked.
+    """Targets that are in use, in the order of their status checks.
 
     Attributes
     ----------
     near, far : list of TargetState
-        Those of the own availability zone, and of others.
+        Targets of the own availability zone, and of other zones.
     """
 
     near: list[TargetState]
@@ -40,26 +41,27 @@
 
 @attrs.define
 class LimitedTargets:
-    """Sorts the targets of one service by their limits.
+    """Applies limits to the targets of one service.
 
     Parameters
     ----------
     limits : TargetLimits
-        Limits, and the permits that are held.
+        Limits of targets, and the available permits.
     zone : str
         Own availability zone.
     """
 
     limits: TargetLimits
     zone: str
-    _far_wanted_until: float = -math.inf
+    _far_permits_until: float = -math.inf
 
     def filter_by_limit(
         self, usable: CandidateLists, urgent: bool, now: float
     ) -> CandidateLists:
-        """Leave out what a request may not go to now; what permits are for goes first.
+        """Return the targets that a request may go to now, those with permits first.
 
-        What a limited target does take would else be lost where others have room.
+        Otherwise the capacity that a limited target still offers would remain unused
+        while other targets have capacity.
 
         Parameters
         ----------
@@ -70,19 +72,19 @@
         now : float
             Time in seconds.
         """
-        near, far = self._free(usable.near), self._free(usable.far)
-        # Where others have no limit nobody has to stand back.
+        near, far = self._unlimited(usable.near), self._unlimited(usable.far)
+        # If some targets have no limit, no permits are reserved for urgent requests.
         urgent = urgent or bool(near or far)
         return CandidateLists(
             self._permitted(usable.near, urgent, now) + near,
             self._permitted(usable.far, urgent, now) + far,
         )
 
-    def _free(self, targets):
+    def _unlimited(self, targets):
         return [t for t in targets if not self.limits.is_limited(t.identity)]
 
     def limited(self, targets: list[TargetState]) -> list[TargetState]:
-        """List those of some targets that name a limit."""
+        """Return the given targets that are limited."""
         return [t for t in targets if self.limits.is_limited(t.identity)]
 
     def _permitted(self, targets, urgent, now):
@@ -95,84 +97,84 @@
     def next_permit(
         self, usable: CandidateLists, urgent: bool, now: float
     ) -> float | None:
-        """Give the time from which a request may go to a limited target.
+        """Return the time from which a request may go to a limited target.
 
         Returns
         -------
         float or None
-            Infinite if no permit for one is held; None if limits are not what keeps
-            the request from a target.
+            Infinity if there is no permit for any of them; None if the request does not
+            wait because of limits.
         """
         left = [*usable.near, *usable.far]
-        if not self.limits or not left or self._free(left):
+        if not self.limits or not left or self._unlimited(left):
             return None
         return min(self.limits.next_start(t.identity, urgent, now) for t in left)
 
-    # -- permits to ask for --------------------------------------------------------
+    # -- permits to request --------------------------------------------------------
 
     def note_search_result(
         self, found: TargetState | CheckStatus | None, now: float
     ) -> None:
-        """Take in what a search gave: whether near targets did not suffice.
+        """Record whether a search found near targets to be insufficient.
 
-        Permits for targets of other zones are of use only then.
+        Permits for targets of other zones are useful only in that case.
         """
         match found:
             case CheckStatus(targets):
-                is_far = targets[0].zone != self.zone
+                is_cross_zone = targets[0].zone != self.zone
             case None:
-                is_far = True
+                is_cross_zone = True
             case _:
-                is_far = False
-        if is_far:
-            self._far_wanted_until = now + FAR_WANTED_S
+                is_cross_zone = False
+        if is_cross_zone:
+            self._far_permits_until = now + FAR_PERMITS_S
 
     def permits_to_request(
         self,
         usable: CandidateLists,
         ejected: list[TargetState],
         expected: int,
-        barred: Container[str],
+        excluded: Container[str],
         now: float,
     ) -> list[PermitRequest]:
-        """Give the permits that are worth asking for.
+        """Return the permits that are useful to request now.
 
-        No more than there are requests to use them, as what is held here and not used
-        serves nobody; some at each target, as what one daemon takes of the first ones
-        on its ring the others there lack.
+        Their number does not exceed the expected requests, as permits that remain
+        unused here are missing on other daemons. They are spread over the targets, as
+        the daemons that start at the same targets on the ring compete for these.
 
         Parameters
         ----------
         usable : CandidateLists
             Targets in use.
         ejected : list of TargetState
-            Those that are out of use.
+            Ejected targets.
         expected : int
-            Requests to expect while a permit holds.
-        barred : container of str
-            Targets that are not to be asked about now.
+            Requests expected within the lifetime of a permit.
+        excluded : container of str
+            Identities of targets for which no permits are requested now.
         now : float
             Time in seconds.
         """
-        reach = self._reach(usable, ejected, now)
-        share = math.ceil(expected / max(1, len(reach)))
-        wanted = []
-        for target in reach:
+        targets = self._permit_targets(usable, ejected, now)
+        share = math.ceil(expected / max(1, len(targets)))
+        requests = []
+        for target in targets:
             held = self.limits.held(target.identity)
             expected -= held
-            if target.identity in barred:
+            if target.identity in excluded:
                 continue
             most = 1 if target.ejected_until else share
             count = min(most - held, expected)
             if count > 0:
-                wanted.append(PermitRequest(target.record, count))
+                requests.append(PermitRequest(target.record, count))
                 expected -= count
-        return wanted
-
-    def _reach(self, usable, ejected, now):
-        # One that is out of use comes back by a trial, which needs a permit as well.
-        reach = self.limited(ejected)[:EJECTED_REACH]
-        reach += self.limited(usable.near)[:NEAR_REACH]
-        if now < self._far_wanted_until:
-            reach += self.limited(usable.far)[:FAR_REACH]
-        return reach
+        return requests
+
+    def _permit_targets(self, usable, ejected, now):
+        # An ejected target returns after a trial, which needs a permit too.
+        targets = self.limited(ejected)[:EJECTED_PERMIT_TARGETS]
+        targets += self.limited(usable.near)[:NEAR_PERMIT_TARGETS]
+        if now < self._far_permits_until:
+            targets += self.limited(usable.far)[:FAR_PERMIT_TARGETS]
+        return targets
--- a/packages/policy/src/cairnferry/policy/usable/_usable.py
+++ b/packages/policy/src/cairnferry/policy/usable/_usable.py
@@ -1,9 +1,9 @@
-"""Which targets may be used, worked out again only when that may differ.
+"""Lists of usable targets, rebuilt only when they may change.
 
-All daemons see the targets of a zone in the same ring, and each begins at a place of
-its own. So each asks the same few first, over connections that it has, and what it
-learnt of them is of use; together the daemons of a zone begin evenly all around, and go
-on to the next ones where those they begin at are busy.
+All daemons order the targets of a zone in the same ring, and each daemon starts at its
+own position. Each daemon thus checks the same few targets first, over existing
+connections and with recent data about them. The daemons of a zone start at evenly
+spread positions, and continue along the ring if the targets there are busy.
 """
 
 import enum
@@ -18,7 +18,7 @@
 
 
 class Reason(enum.StrEnum):
-    """Why a target is out of use."""
+    """Reason why a target is out of use."""
 
     DRAINING = "draining"
     EVACUATED = "evacuated"
@@ -29,21 +29,21 @@
 
 @attrs.define
 class UsableTargets:
-    """Lists of usable targets, kept until an event or a time changes them.
+    """Lists of usable targets, cached until an event or a time changes them.
 
     Parameters
     ----------
     zone : str
         Own availability zone.
-    place : float
-        Where on the ring this daemon begins, 0 to 1.
+    ring_position : float
+        Position on the ring where this daemon starts, 0 to 1.
 
     Attributes
     ----------
     evacuated : frozenset of str
-        Availability zones whose targets are sent nothing.
+        Availability zones whose targets get no requests.
     ejected : list of TargetState
-        Those out of use that are not draining.
+        Targets that are out of use because they are ejected, for no earlier reason.
     """
 
     zone: str
@@ -55,48 +55,51 @@
     _valid_until: float = -math.inf
 
     def invalidate(self) -> None:
-        """Work the lists out again when they are next needed."""
+        """Rebuild the lists at the next use."""
         self._valid_until = -math.inf
 
     def lists(
         self, targets: dict[str, TargetState], now: float
     ) -> tuple[list[TargetState], list[TargetState]]:
-        """Give the usable targets of the own zone, and those of others.
+        """Return the usable targets of the own zone, and those of other zones.
 
-        Both are in the order in which they are to be asked.
+        Both are in the order of their status checks.
         """
         if now >= self._valid_until:
-            self._work_out(targets, now)
+            self._rebuild(targets, now)
         return self._near, self._far
 
     def trial_candidates(
         self, targets: dict[str, TargetState], now: float
     ) -> list[TargetState]:
-        """Give the ejected targets that nothing else keeps out of use."""
+        """Return the ejected targets that are out of use for no other reason."""
         self.lists(targets, now)
         return self.ejected
 
-    def _work_out(self, targets, now):
+    def _rebuild(self, targets, now):
         self._near = []
         self._far = []
         self.ejected = []
         self._valid_until = math.inf
-        ring = sorted(targets.values(), key=_on_ring)
+        ring = sorted(targets.values(), key=_ring_key)
         near = [target for target in ring if target.record.zone == self.zone]
         far = [target for target in ring if target.record.zone != self.zone]
-        for target in (*self._from_ring_position(near), *self._from_ring_position(far)):
-            self._sort_in(target, now)
+        for target in (*self._from_position(near), *self._from_position(far)):
+            self._classify(target, now)
 
-    def _from_ring_position(self, ring):
-        """Begin at the own place: counted over all, so that a pause moves nobody."""
+    def _from_position(self, ring):
+        """Rotate a ring to the own position, counted over all targets, used or not.
+
+        A target that is out of use for a moment thus moves no daemon's position.
+        """
         first = int(self.ring_position * len(ring))
         return ring[first:] + ring[:first]
 
-    def _sort_in(self, target, now):
+    def _classify(self, target, now):
         for reason, until_of in _REASONS.items():
             until = until_of(target, self)
             if until > now:
-                self._change_at(until, now)
+                self._rebuild_at(until, now)
                 if reason is Reason.EJECTED:
                     self.ejected.append(target)
                 return
@@ -106,15 +109,15 @@
             self._far.append(target)
 
     def is_out_until(self, target: TargetState, time: float) -> bool:
-        """Tell whether a target takes no request before a time, as is known now."""
-        return any(_REASONS[reason](target, self) > time for reason in _LASTING)
+        """Return whether a target is known to be out of use until after a time."""
+        return any(_REASONS[reason](target, self) > time for reason in _LONG_REASONS)
 
     def out_of_use_reason(self, target: TargetState, now: float) -> str | None:
-        """Give the first reason for which a target is out of use; None if it is not."""
+        """Return the first reason why a target is out of use; None if it is in use."""
         reasons = (r for r, until in _REASONS.items() if until(target, self) > now)
         return next(reasons, None)
 
-    def _change_at(self, time, now):
+    def _rebuild_at(self, time, now):
         if time > now:
             self._valid_until = min(self._valid_until, time)
 
@@ -129,12 +132,12 @@
     return math.inf if target.record.zone in usable.evacuated else -math.inf
 
 
-def _resting_until(target, _usable):
+def _back_off_until(target, _usable):
     return target.back_off_until
 
 
 def _ejected_until(target, _usable):
-    # It comes back by a trial, not by time.
+    # An ejected target returns after a trial, not at a time.
     return math.inf if target.ejected_until else -math.inf
 
 
@@ -142,19 +145,19 @@
     return target.paused_until
 
 
-# For each reason the time in seconds to which it holds. The first that does decides: an
-# ejected target is not tried while any of those above keeps it out of use.
+# Time in seconds until which each reason applies. The first one that applies decides:
+# an ejected target gets no trial while a reason listed before keeps it out of use.
 _REASONS: dict[Reason, Callable[[TargetState, UsableTargets], float]] = {
     Reason.DRAINING: _draining_until,
     Reason.EVACUATED: _evacuated_until,
-    Reason.BACKING_OFF: _resting_until,
+    Reason.BACKING_OFF: _back_off_until,
     Reason.EJECTED: _ejected_until,
     Reason.PAUSED: _paused_until,
 }
-# Reasons whose end is not waited for, unless it is known to come in time.
-_LASTING = (Reason.DRAINING, Reason.EVACUATED, Reason.BACKING_OFF)
+# Reasons that a request does not wait for, unless their end is known to come in time.
+_LONG_REASONS = (Reason.DRAINING, Reason.EVACUATED, Reason.BACKING_OFF)
 
 
-def _on_ring(target):
-    """Spread targets on the ring whatever their names, at each daemon alike."""
+def _ring_key(target):
+    """Return the sort key on the ring: independent of names, equal at each daemon."""
     return zlib.crc32(target.identity.encode())
--- a/tests/policy/_helpers.py
+++ b/tests/policy/_helpers.py
@@ -1,4 +1,4 @@
-"""Policies, targets and requests, with a clock of the test's own."""
+"""Helpers for policies without status checks; tests pass in the time."""
 
 import random
 
@@ -22,7 +22,7 @@
     policy = ServicePolicy(service, "near", random.Random(3))
     records = targets or [make_target(i, **fields) for i in range(count)]
     policy.update(service, records, 0.0)
-    policy._room._window.limit = policy._room._window.maximum
+    policy._capacity._window.limit = policy._capacity._window.maximum
     return policy
 
 
@@ -42,7 +42,7 @@
 
 
 def warm_up(policy, latency=0.01, count=40):
-    """Let each target answer some requests."""
+    """Let requests end until latencies are known; return the time after the last."""
     now = 0.0
     for _ in range(count):
         attempt = send(policy, now)
--- a/tests/policy/_status_checks.py
+++ b/tests/policy/_status_checks.py
@@ -1,4 +1,4 @@
-"""Policies that ask targets before they choose, and answers for them."""
+"""Helpers for policies with status checks: policies, requests and answers."""
 
 import random
 
@@ -28,14 +28,14 @@
 
 
 def with_retry_tokens(policy, now=0.0, requests=10):
-    """Let a policy see requests that earn repeats; a new one has none."""
+    """Let requests arrive that earn retry tokens; a new policy has none."""
     for _ in range(requests):
         policy.arrive(call(now=now, route="other"), now)
     return policy
 
 
 def ejected(policy):
-    """Let the first of three targets fail until it is ejected."""
+    """Let the first of three targets fail until it is ejected; return the policy."""
     for index in range(4):
         now = 1.0 + index / 10
         busy = dict.fromkeys(["n1", "n2"], LoadReport(3))
@@ -46,7 +46,7 @@
 
 
 def recreated_policy(*targets, advisories, now):
-    """Give the policy of a service that was dropped and is back."""
+    """Return the new policy of a service that was removed and restored."""
     settings = settings_for("ask-first")
     policy = ServicePolicy(
         SERVICE, "near", random.Random(3), settings, advisories=advisories
@@ -62,14 +62,14 @@
 IDLE = LoadReport(0)
 
 
-def answer(policy, ask, now, reports=None):
-    for record in ask.targets:
+def answer(policy, check, now, reports=None):
+    for record in check.targets:
         report = (reports or {}).get(record.name, IDLE)
         policy.note_check(record.name, report, report is not None, now)
 
 
 def decide(policy, req, now=1.0, **reports):
-    """Answer rounds of questions until something else is decided."""
+    """Answer status checks; return the first other decision, and the rounds."""
     decision = policy.arrive(req, now)
     rounds = []
     while isinstance(decision, CheckStatus):
@@ -88,7 +88,7 @@
 
 
 def train_route(policy, route, seconds, rank=1, start=0.0):
-    """Let the policy see what a route's requests take."""
+    """Let requests of a route end, each after the given time in seconds."""
     for index in range(30):
         now = start + index * 0.02
         req = call(now=now, route=route, rank=rank)
@@ -101,7 +101,7 @@
 
 
 def in_flight(policy, now, **more):
-    """Let the policy send an idempotent request; give its attempt."""
+    """Let the policy send an idempotent request, and return its attempt."""
     req = call(now=now, route="r", **more)
     decision, _ = decide(policy, req, now=now)
     return decision.attempt
