--- a/tests/policy/admission/test_admission.py
+++ b/tests/policy/admission/test_admission.py
@@ -1,11 +1,11 @@
-"""Requests that wait for room, and those that are given up before they are sent."""
+"""Requests that wait for capacity or are given up before they are sent."""
 
 from cairnferry.policy import Answered, Send, Wait
 from policy._helpers import make_call, make_policy, send, warm_up
 
 
-def test_requests_that_wait_outlast_a_stall_at_the_start():
-    """Guards against refusals as the first answers were late by this process alone."""
+def test_waiting_requests_survive_a_stall_at_the_start():
+    """Guards against refusals because this process delayed the first answers."""
     policy = make_policy(count=1, slots=3)
     running = [send(policy) for _ in range(3)]
     waiting = [make_call() for _ in range(7)]
@@ -18,7 +18,7 @@
     assert all(isinstance(decision, Send) for _, decision in decided)
 
 
-def test_with_answers_enough_a_request_that_cannot_be_in_time_is_given_up():
+def test_late_request_is_given_up_once_enough_answers_were_measured():
     policy = make_policy(count=1, slots=1)
     warm_up(policy, latency=0.4)
     late = make_call(now=20.0, seconds=0.3)
--- a/tests/policy/admission/test_budget.py
+++ b/tests/policy/admission/test_budget.py
@@ -1,4 +1,4 @@
-"""Retry budgets: none is exceeded in any window, however many instances share it."""
+"""Retry budgets: no window exceeds them, however many instances share them."""
 
 import pytest
 from hypothesis import given
@@ -12,20 +12,20 @@
 @given(
     st.lists(st.tuples(st.floats(0.0, 0.5), st.booleans()), min_size=1, max_size=400)
 )
-def test_no_window_holds_more_than_the_budget(steps):
+def test_no_window_exceeds_the_budget(steps):
     budget = WindowBudget(ratio=0.2, slack=3.0, window=WINDOW_S)
     now = 100.0
-    firsts, further = [], []
-    for pause, wants_more in steps:
+    first_attempts, further_attempts = [], []
+    for pause, is_further in steps:
         now += pause
-        if not wants_more:
+        if not is_further:
             budget.earn(now)
-            firsts.append(now)
+            first_attempts.append(now)
         elif budget.spend(now):
-            further.append(now)
+            further_attempts.append(now)
         start = now - WINDOW_S
-        with_retry_tokens = sum(at > start for at in firsts)
-        assert sum(at > start for at in further) <= 0.2 * with_retry_tokens + 3
+        first_count = sum(at > start for at in first_attempts)
+        assert sum(at > start for at in further_attempts) <= 0.2 * first_count + 3
 
 
 @given(
@@ -35,42 +35,42 @@
         max_size=400,
     )
 )
-def test_an_instance_that_is_lost_again_and_again_keeps_the_budget(steps):
-    """Guards against a process that starts with what the one before it has spent."""
+def test_instance_that_restarts_repeatedly_stays_within_the_budget(steps):
+    """Guards against a new process that spends again what its predecessor spent."""
     budget = WindowBudget(ratio=0.2, slack=3.0, window=WINDOW_S)
     now = 100.0
-    firsts, further = [], []
+    first_attempts, further_attempts = [], []
     for pause, step in steps:
         now += pause
         match step:
             case "first":
                 budget.earn(now)
-                firsts.append(now)
+                first_attempts.append(now)
             case "further" if budget.spend(now):
-                further.append(now)
+                further_attempts.append(now)
             case "lost":
                 budget = WindowBudget(ratio=0.2, slack=3.0, window=WINDOW_S)
         start = now - WINDOW_S
-        with_retry_tokens = sum(at > start for at in firsts)
-        assert sum(at > start for at in further) <= 0.2 * with_retry_tokens + 3
+        first_count = sum(at > start for at in first_attempts)
+        assert sum(at > start for at in further_attempts) <= 0.2 * first_count + 3
 
 
-def test_one_that_starts_spends_nothing_before_requests_have_earned_it():
-    """Guards against a slack that each start of an instance brings anew."""
+def test_new_instance_has_no_tokens():
+    """Guards against a slack that each start of an instance renews."""
     budget = WindowBudget(ratio=0.2, slack=64.0, window=WINDOW_S)
     assert not budget.spend(1.0)
 
 
-def test_what_was_not_sent_is_given_back():
+def test_refunded_token_can_be_spent_again():
     budget = WindowBudget(ratio=1.0, slack=1.0, window=WINDOW_S)
     budget.earn(1.0)
     assert budget.spend(1.0)
     assert not budget.spend(1.0)
-    budget.give_back()
+    budget.refund()
     assert budget.spend(1.0)
 
 
-def test_after_a_window_without_repeats_a_burst_and_a_rest_are_there():
+def test_idle_window_allows_a_burst_and_the_rest_of_the_slack_over_time():
     budget = WindowBudget(ratio=0.0, slack=10.0, window=WINDOW_S)
     budget.earn(0.0)
     at_once = 0
@@ -83,16 +83,16 @@
 
 @pytest.mark.parametrize("instances", [1, 3, 18])
 def test_instances_together_spend_no_more_than_the_slack(instances):
-    """Symptom: targets get more repeats than the budget allows, all from restarts.
+    """Guards against more retries than the budget allows.
 
-    Events: no requests, so that the ratio gives nothing; each instance spends the
-    whole slack. Cause: the slack was not divided.
+    Without requests the ratio earns no tokens, and each instance spends from the slack,
+    which has to be divided among the instances.
     """
     slack = 64
     spent = 0
     for _ in range(instances):
         budget = WindowBudget(0.2, slack / instances, WINDOW_S)
         assert not budget.spend(5.0)
-        for tenth in range(100):
-            spent += budget.spend(100.0 + tenth * WINDOW_S / 100)
+        for index in range(100):
+            spent += budget.spend(100.0 + index * WINDOW_S / 100)
     assert 0 < spent <= slack
--- a/tests/policy/choice/test_choice.py
+++ b/tests/policy/choice/test_choice.py
@@ -1,4 +1,4 @@
-"""Choice of a target by what is known of each."""
+"""Choice of a target by load, without status checks."""
 
 import attrs
 import pytest
@@ -25,8 +25,8 @@
 )
 
 
-def spread(policy, now, count=400, latency=0.01):
-    """Count where requests go that end at once."""
+def count_requests(policy, now, count=400, latency=0.01):
+    """Count the requests that each target gets, if requests end at once."""
     counts = {target.name: 0 for target in policy._targets}
     for _ in range(count):
         now += latency
@@ -36,31 +36,30 @@
     return counts
 
 
-def test_the_own_zone_goes_first_until_it_runs_hot():
+def test_own_zone_is_preferred_until_its_load_is_high():
     targets = [make_target(0, zone="near"), make_target(1, zone="far")]
     policy = make_policy(targets=targets)
     first = [send(policy).target_name for _ in range(3)]
     assert first == ["t0", "t0", "t1"]
 
 
-def test_a_target_that_became_slow_loses_its_traffic():
+def test_slow_target_gets_no_more_requests():
     policy = make_policy(4)
     now = warm_up(policy, count=100)
     slow = state(policy)
-    stuck = [send(policy, now) for _ in range(4)]
-    assert any(attempt.target is slow for attempt in stuck)
+    open_attempts = [send(policy, now) for _ in range(4)]
+    assert any(attempt.target is slow for attempt in open_attempts)
     later = now + 0.2
-    for attempt in stuck:
+    for attempt in open_attempts:
         if attempt.target is not slow:
             policy.finished(attempt, Answered(), now + 0.01)
-    assert spread(policy, later)["t0"] == 0
+    assert count_requests(policy, later)["t0"] == 0
 
 
-def test_fast_failures_do_not_look_like_low_load():
-    """Symptom: a broken target draws most of the traffic.
+def test_fast_failures_do_not_count_as_low_load():
+    """Guards against a broken target that attracts most of the traffic.
 
-    Events: a target answers each request with an error, at once. Cause: it
-    looks idle and fast.
+    A target that answers each request with an immediate error looks idle and fast.
     """
     policy = make_policy(4)
     now = warm_up(policy, count=100)
@@ -75,14 +74,14 @@
     assert sent <= 10
 
 
-def test_an_ejected_target_comes_back_by_one_trial_at_a_time():
+def test_ejected_target_returns_by_one_trial_at_a_time():
     policy = make_policy(4)
     now = warm_up(policy, count=100)
     target = state(policy)
     for _ in range(3):
         policy._targets._ejector.note_failure(target, policy._targets, now)
     policy._targets._usable.invalidate()
-    assert spread(policy, now, count=50)["t0"] == 0
+    assert count_requests(policy, now, count=50)["t0"] == 0
     later = target.ejected_until + 1
     attempts = [send(policy, later) for _ in range(6)]
     trials = [attempt for attempt in attempts if attempt.target is target]
@@ -108,14 +107,14 @@
         attempts = [send(policy) for _ in range(2)]
         first = attempts[0]
         policy.finished(first, TargetRefused(draining=True), 0.0)
-        assert spread(policy, 1.0)[first.target_name] == 0
+        assert count_requests(policy, 1.0)[first.target_name] == 0
         return
     else:
         policy.note_draining("t0", source, 100.0)
-    assert spread(policy, 1.0, count=40)["t0"] == 0
+    assert count_requests(policy, 1.0, count=40)["t0"] == 0
 
 
-def test_queued_requests_do_not_go_to_a_target_that_began_to_leave():
+def test_queued_requests_are_not_sent_to_a_draining_target():
     policy = make_policy(1, slots=1)
     attempt = send(policy)
     call = make_call()
@@ -133,7 +132,7 @@
     assert policy.arrive(make_call(), 0.0).cause is Cause.NO_TARGET
 
 
-def test_a_new_target_gets_its_share_slowly():
+def test_new_target_ramps_up_slowly():
     policy = make_policy(3)
     now = warm_up(policy)
     policy.update(SERVICE, [make_target(i) for i in range(4)], now)
@@ -141,11 +140,10 @@
     assert early <= 1
 
 
-def test_a_replaced_target_does_not_lose_count_of_what_runs():
-    """Symptom: an internal error for each answer after a record was replaced.
+def test_requests_in_flight_are_counted_correctly_after_a_target_is_replaced():
+    """Guards against internal errors after the address of a target changes.
 
-    Events: requests run at a target; its record gets another address; the
-    answers come. Cause: they were counted out of the new target.
+    Answers to requests at the earlier address must not be counted off the new target.
     """
     policy = make_policy(1)
     attempt = send(policy)
@@ -156,7 +154,7 @@
     assert state(policy).in_flight == 0
 
 
-def test_background_work_takes_what_interactive_work_leaves():
+def test_background_requests_use_only_their_share_of_the_capacity():
     policy = make_policy(4)
     background = 0
     while isinstance(policy.arrive(make_call(priority=Priority.BACKGROUND), 0.0), Send):
--- a/tests/policy/choice/test_seeking.py
+++ b/tests/policy/choice/test_status_checks.py
@@ -1,4 +1,4 @@
-"""Choice by asking: whom, when it is enough, and what is chosen."""
+"""Choice by status checks: targets checked, end of the rounds, target chosen."""
 
 import random
 
@@ -31,7 +31,7 @@
 )
 
 
-def test_an_idle_target_of_the_own_zone_ends_the_asking():
+def test_idle_target_of_the_own_zone_ends_the_status_checks():
     decision, rounds = decide(policy_of(*near(8), *far(8)), call())
     assert isinstance(decision, Send)
     assert len(rounds) == 1
@@ -40,16 +40,16 @@
 
 
 def test_the_faster_of_two_machines_is_chosen():
-    """Symptom: requests take four times as long although other machines are calm.
+    """Guards against requests that take four times as long as at another machine.
 
-    Cause: a busy neighbour on the target's machine, which its slots do not show.
+    A busy neighbouring workload slows down a target without using its slots.
     """
     reports = {"n0": LoadReport(0, slowdown=4.0), "n1": LoadReport(1, slowdown=1.0)}
     decision, _ = decide(policy_of(*near(2)), call(), **reports)
     assert decision.attempt.target_name == "n1"
 
 
-def test_more_are_asked_only_if_none_will_do():
+def test_more_targets_are_checked_only_if_none_is_good_enough():
     busy = LoadReport(4, slowdown=4.0)
     targets = [*near(4), *far(8)]
     reports = {f"n{index}": busy for index in range(4)}
@@ -58,14 +58,14 @@
     assert decision.attempt.target_name.startswith("f")
 
 
-def test_no_target_is_asked_twice_for_one_attempt():
+def test_no_target_is_checked_twice_for_one_attempt():
     busy = {f"n{index}": LoadReport(5) for index in range(20)}
     _, rounds = decide(policy_of(*near(20)), call(), **busy)
-    asked = [name for names in rounds for name in names]
-    assert len(asked) == len(set(asked)) == 14
+    checked = [name for names in rounds for name in names]
+    assert len(checked) == len(set(checked)) == 14
 
 
-def test_what_was_heard_a_moment_ago_is_not_asked_again():
+def test_recent_report_replaces_a_status_check():
     policy = policy_of(*near(4))
     decide(policy, call(now=1.0), now=1.0)
     decision, rounds = decide(policy, call(now=1.002), now=1.002)
@@ -73,10 +73,10 @@
     assert rounds == []
 
 
-def test_own_requests_since_the_report_count():
-    """Symptom: requests of one moment all go to the target that was idle.
+def test_own_requests_since_the_report_are_added_to_it():
+    """Guards against a group of concurrent requests that all go to one idle target.
 
-    Cause: each was compared by a report made before any of them was sent.
+    The report of the target is older than these requests, which have to be added.
     """
     policy = policy_of(*near(4))
     chosen = set()
@@ -87,10 +87,10 @@
     assert len(chosen) == 4
 
 
-def test_targets_that_give_no_answer_are_the_last_choice():
-    """Symptom: requests hang at a target that has crashed without a word.
+def test_unresponsive_targets_are_the_last_choice():
+    """Guards against requests that hang at a target whose machine has crashed.
 
-    Cause: its last report, made before, called it idle.
+    By its last report, the target looks idle.
     """
     silent = {"n0": None, "n1": None, "n2": None}
     policy = policy_of(*near(4))
@@ -101,18 +101,18 @@
         policy.finished(decision.attempt, Answered(), now + 0.1)
 
 
-def test_if_no_check_is_answered_requests_still_go_out():
+def test_requests_are_sent_even_if_no_status_check_is_answered():
     policy = policy_of(*near(2))
     decision, rounds = decide(policy, call(), n0=None, n1=None)
     assert isinstance(decision, Send)
     assert len(rounds) == 1
 
 
-def test_a_target_that_calls_itself_ill_is_used_if_all_others_are_worse():
+def test_unhealthy_target_is_used_only_without_a_better_one():
     policy = policy_of(*near(2))
     req = call()
-    ask = policy.arrive(req, 1.0)
-    assert isinstance(ask, CheckStatus)
+    check = policy.arrive(req, 1.0)
+    assert isinstance(check, CheckStatus)
     policy.note_check("n0", LoadReport(0), False, 1.0)
     policy.note_check("n1", LoadReport(0), True, 1.0)
     decision = policy.resume(req, 1.0)
@@ -124,7 +124,7 @@
     assert policy.resume(req, 1.0).attempt.target_name == "n0"
 
 
-def test_a_target_that_has_just_started_gets_less():
+def test_cold_target_gets_fewer_requests():
     warm, cold = target("warm"), target("cold", warmup_s=3.0)
     policy = policy_of(warm, cold, now=0.5)
     decision, _ = decide(policy, call(), warm=LoadReport(1), cold=LoadReport(0))
@@ -133,60 +133,59 @@
     assert decision.attempt.target_name == "cold"
 
 
-def test_a_request_that_no_target_has_room_for_is_told_at_once():
+def test_request_is_refused_at_once_if_all_targets_are_full():
     full = {f"n{index}": LoadReport(8) for index in range(3)}
     decision, _ = decide(policy_of(*near(3)), call(), **full)
     assert decision == Refuse(Cause.OVERLOAD, decision.retry_after)
     assert decision.retry_after > 0
 
 
-def test_a_refusal_is_followed_by_a_new_search_without_that_target():
+def test_retry_after_a_refusal_excludes_the_refusing_target():
     policy = with_retry_tokens(policy_of(*near(2)))
     decision, _ = decide(policy, call())
     first = decision.attempt
-    again = policy.finished(first, TargetRefused(), 1.01)
-    while isinstance(again, CheckStatus):
-        assert first.target_name not in [record.name for record in again.targets]
-        answer(policy, again, 1.01)
-        again = policy.resume(first.call, 1.01)
-    assert again.attempt.kind is AttemptKind.RETRY
-    assert again.attempt.target_name != first.target_name
+    retry = policy.finished(first, TargetRefused(), 1.01)
+    while isinstance(retry, CheckStatus):
+        assert first.target_name not in [record.name for record in retry.targets]
+        answer(policy, retry, 1.01)
+        retry = policy.resume(first.call, 1.01)
+    assert retry.attempt.kind is AttemptKind.RETRY
+    assert retry.attempt.target_name != first.target_name
 
 
-def test_the_route_bounds_the_attempts():
+def test_route_limits_the_number_of_attempts():
     policy = policy_of(*near(6))
     decision, _ = decide(policy, call(max_attempts=1))
     assert isinstance(policy.finished(decision.attempt, TargetRefused(), 1.1), Refuse)
 
 
-def test_a_failed_answer_is_relayed_if_no_other_target_is_left():
+def test_failed_answer_is_relayed_if_no_other_target_is_left():
     policy = with_retry_tokens(policy_of(target("n0")))
     decision, _ = decide(policy, call())
     tokens = policy.snapshot(1.0)["retry_tokens"]
     assert policy.finished(decision.attempt, Answered(failed=True), 1.1) == Relay()
-    # What time alone brings is far less than one.
+    # Tokens that accrue over time are far fewer than 1.
     assert 0 <= policy.snapshot(1.1)["retry_tokens"] - tokens < 0.1
 
 
-def test_a_failed_answer_is_relayed_if_no_other_target_has_room():
-    """Symptom: a caller gets a 502 of the system's own, although a target answered.
+def test_failed_answer_is_relayed_if_all_other_targets_are_full():
+    """Guards against a generated 502 although a target answered.
 
-    Events: the target's answer is a failure, the request may be repeated, and all
-    others say that they are full when they are asked. Cause: the answer was dropped as
-    soon as others were asked.
+    The answer is a failure, the request may be retried, and all other targets report
+    in status checks that they are full. The failed answer must be kept until then.
     """
     policy = with_retry_tokens(policy_of(*near(3)))
     decision, _ = decide(policy, call(), n1=LoadReport(9), n2=LoadReport(9))
     tokens = policy.snapshot(1.0)["retry_tokens"]
-    again = policy.finished(decision.attempt, Answered(failed=True), 1.1)
-    assert isinstance(again, CheckStatus)
-    answer(policy, again, 1.1, {"n1": LoadReport(9), "n2": LoadReport(9)})
+    retry = policy.finished(decision.attempt, Answered(failed=True), 1.1)
+    assert isinstance(retry, CheckStatus)
+    answer(policy, retry, 1.1, {"n1": LoadReport(9), "n2": LoadReport(9)})
     assert policy.resume(decision.attempt.call, 1.1) == Relay()
-    # What time alone brings is far less than one.
+    # Tokens that accrue over time are far fewer than 1.
     assert 0 <= policy.snapshot(1.1)["retry_tokens"] - tokens < 0.1
 
 
-def test_a_deadline_that_passes_while_targets_are_asked_ends_the_request():
+def test_deadline_that_passes_during_status_checks_ends_the_request():
     policy = policy_of(*near(2))
     req = call()
     assert isinstance(policy.arrive(req, 1.0), CheckStatus)
@@ -194,34 +193,34 @@
 
 
 @pytest.mark.parametrize("instances", [1, 6])
-def test_instances_share_what_may_be_repeated_beyond_the_ratio(instances):
+def test_instances_share_the_slack_of_the_retry_budget(instances):
     service = attrs.evolve(SERVICE, retry_ratio=0.0)
     policy = ServicePolicy(service, "near", random.Random(3), settings_for("ask-first"))
     policy.update(service, near(30), 0.0)
     policy.set_instances(instances)
     with_retry_tokens(policy, requests=1)
-    repeats = 0
+    retries = 0
     for index in range(20):
-        # One window, after a time in which nothing was spent.
+        # All within one window, after a time without retries.
         now = 100.0 + index / 2
         decision, _ = decide(policy, call(now=now), now=now)
         after = policy.finished(decision.attempt, TargetRefused(), now)
-        repeats += isinstance(after, CheckStatus | Send)
-    # A tenth of what is allowed is never spent.
-    assert repeats == int(0.9 * 6 / instances)
+        retries += isinstance(after, CheckStatus | Send)
+    # A tenth of the budget is never spent; see `budget_share`.
+    assert retries == int(0.9 * 6 / instances)
 
 
-def test_what_is_believed_of_a_target_is_told_once():
+def test_each_state_change_of_a_target_is_reported_once():
     policy = policy_of(*near(2))
     for now in (1.0, 2.0, 5.0):
         policy.note_check("n0", None, False, now)
     policy.note_check("n0", LoadReport(0), True, 6.0)
-    told = [(event.target, str(event.condition)) for event in policy.take_events()]
-    assert told == [("n0", "silent"), ("n0", "heard again")]
+    reported = [(event.target, str(event.condition)) for event in policy.take_events()]
+    assert reported == [("n0", "silent"), ("n0", "heard again")]
     assert policy.take_events() == []
 
 
-def test_an_ejection_is_told_with_what_decided_it():
+def test_ejection_is_reported_with_its_reasons():
     policy = policy_of(*near(4))
     for index in range(3):
         now = 1.0 + index
--- a/tests/policy/shared/test_cold.py
+++ b/tests/policy/shared/test_cold.py
@@ -1,4 +1,4 @@
-"""What is known of cold targets, from whomever it comes and in any order."""
+"""Cold targets, reported by any source and in any order."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -10,38 +10,38 @@
 NOW = 10.0
 
 
-def test_its_own_word_replaces_what_others_said():
-    book = ColdRegistry()
-    assert book.receive("t", 14.0, 3.1, NOW)
-    assert not book.note_own_report("t", 12.0, 3.1, NOW)
-    assert book.get("t").until == 12.0
-    assert not book.note_own_report("t", 10.0, 3.1, NOW)
-    assert book.get("t") is None
+def test_a_report_by_the_target_replaces_reports_by_others():
+    registry = ColdRegistry()
+    assert registry.receive("t", 14.0, 3.1, NOW)
+    assert not registry.note_own_report("t", 12.0, 3.1, NOW)
+    assert registry.get("t").until == 12.0
+    assert not registry.note_own_report("t", 10.0, 3.1, NOW)
+    assert registry.get("t") is None
 
 
-def test_what_others_say_only_extends_it():
-    book = ColdRegistry()
-    book.note_own_report("t", 13.0, 3.1, NOW)
-    assert not book.receive("t", 12.0, 3.1, NOW)
-    assert book.get("t").until == 13.0
-    book.receive("t", 14.0, 3.1, NOW)
-    assert book.get("t").until == 14.0
+def test_reports_by_others_only_extend_a_cold_period():
+    registry = ColdRegistry()
+    registry.note_own_report("t", 13.0, 3.1, NOW)
+    assert not registry.receive("t", 12.0, 3.1, NOW)
+    assert registry.get("t").until == 13.0
+    registry.receive("t", 14.0, 3.1, NOW)
+    assert registry.get("t").until == 14.0
 
 
-def test_a_row_counts_once():
-    """Guards against a target that stays cold by a row that has not changed."""
-    book = ColdRegistry()
-    assert book.note_row("t", 13.0, 3.1, NOW)
-    book.note_own_report("t", NOW, 3.1, NOW)
-    assert not book.note_row("t", 13.0, 3.1, NOW)
-    assert book.get("t") is None
+def test_an_unchanged_row_is_applied_once():
+    """Guards against a target that stays cold because of an unchanged row."""
+    registry = ColdRegistry()
+    assert registry.note_row("t", 13.0, 3.1, NOW)
+    registry.note_own_report("t", NOW, 3.1, NOW)
+    assert not registry.note_row("t", 13.0, 3.1, NOW)
+    assert registry.get("t") is None
 
 
-def test_others_are_told_when_it_turns_cold_and_when_that_lasts_longer():
-    book = ColdRegistry()
-    assert book.note_own_report("t", 12.0, 3.1, NOW)
-    assert not book.note_own_report("t", 12.1, 3.1, NOW + 0.1)
-    assert book.note_own_report("t", 15.0, 3.1, NOW + 0.2)
+def test_the_start_and_the_extension_of_a_cold_period_are_reported_to_others():
+    registry = ColdRegistry()
+    assert registry.note_own_report("t", 12.0, 3.1, NOW)
+    assert not registry.note_own_report("t", 12.1, 3.1, NOW + 0.1)
+    assert registry.note_own_report("t", 15.0, 3.1, NOW + 0.2)
 
 
 @given(
@@ -53,16 +53,16 @@
         )
     )
 )
-def test_whatever_is_heard_it_ends(words):
-    """Guards against a target that is kept back for good."""
-    book = ColdRegistry()
-    for kind, identity, until in words:
-        getattr(book, kind)(identity, until, 3.1, NOW)
-    book.drop_warm(20.0)
-    assert len(book) == 0
+def test_every_cold_period_ends(reports):
+    """Guards against a target that is limited for ever."""
+    registry = ColdRegistry()
+    for kind, identity, until in reports:
+        getattr(registry, kind)(identity, until, 3.1, NOW)
+    registry.drop_warm(20.0)
+    assert len(registry) == 0
 
 
-def test_of_a_limit_and_coldness_the_lower_rate_holds():
+def test_the_lower_rate_of_limit_and_cold_period_applies():
     limits = TargetLimits()
     limits.cold.receive("t", 12.0, 3.1, NOW)
     assert limits.rate("t") == 3.1
@@ -72,8 +72,8 @@
     assert limits.rate("t") == 3.1
 
 
-def test_a_request_goes_to_a_cold_target_by_permit_alone():
-    """Guards against a cold target that is sent more than it takes."""
+def test_a_request_goes_to_a_cold_target_only_with_a_permit():
+    """Guards against a cold target that is sent more than it tolerates."""
     policy = policy_of(*near(2), *far(2))
     for name in ("n0", "n1"):
         policy.limits.cold.receive(name, 50.0, 3.1, 1.0)
@@ -85,7 +85,7 @@
     assert decision.attempt.target_name == "n1"
 
 
-def test_with_cold_targets_alone_it_is_refused_until_the_next_permit():
+def test_with_only_cold_targets_a_request_is_refused_until_the_next_permit():
     policy = policy_of(*near(1))
     policy.limits.cold.receive("n0", 50.0, 3.1, 1.0)
     permit(policy, "n0", start=1.6)
--- a/tests/policy/shared/test_probes.py
+++ b/tests/policy/shared/test_probes.py
@@ -1,4 +1,4 @@
-"""The budget of probes holds however the daemons are cut off from each other."""
+"""The budget of probes is kept in any partition of the daemons."""
 
 import itertools
 
@@ -16,7 +16,7 @@
 
 
 def total_rate(sides):
-    """Add up the probes a second for one target, over the sides of a partition."""
+    """Return the probes per second of one target, summed over sides of a partition."""
     rate = 0.0
     for side in sides:
         for name in side:
@@ -32,9 +32,9 @@
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(st.lists(st.integers(0, 4), min_size=18, max_size=18))
 def test_a_partition_spends_less_than_twice_the_budget(side_of):
-    """Symptom: targets are probed many times as often during a partition.
+    """Guards against targets that are probed many times as often during a partition.
 
-    Events: daemons lose each other. Cause: each side takes itself for all.
+    Each side of the partition regards its own daemons as the only ones.
     """
     sides = [
         [n for n, s in zip(NAMES, side_of, strict=True) if s == i] for i in range(5)
@@ -42,11 +42,11 @@
     assert total_rate(sides) < 2
 
 
-def test_even_daemons_that_are_all_alone_spend_less_than_twice():
+def test_isolated_daemons_spend_less_than_twice_the_budget():
     assert total_rate([[name] for name in NAMES]) < 2
 
 
-def test_probes_come_at_their_interval_whatever_happens_between():
+def test_probes_are_made_at_their_interval():
     plan = ProbePlan(1.0)
     for target in TARGETS:
         plan.set_share(target.name, ProbeShare(0))
@@ -55,7 +55,7 @@
     assert len(probes) == 10 * len(TARGETS)
 
 
-def test_no_share_means_no_probe():
+def test_a_daemon_without_a_share_makes_no_probes():
     plan = ProbePlan(1.0)
     plan.set_share("t0", ProbeShare(-1))
     assert plan.due(TARGETS, 0.0) == []
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -1,4 +1,4 @@
-"""Targets that hang, and requests that are sent a second time for it."""
+"""Hedging of requests at targets that hang."""
 
 from cairnferry.policy import (
     AttemptKind,
@@ -18,10 +18,10 @@
 )
 
 
-def test_a_target_that_gave_no_answer_is_not_asked_again_at_once():
-    """Symptom: while one target is dead all requests take 30 ms longer.
+def test_target_that_missed_a_check_is_not_checked_again_at_once():
+    """Guards against status checks of an unresponsive target by every request.
 
-    Cause: each of them asked it, and waited for its answer.
+    Each request would wait 30 ms for the answer.
     """
     policy = policy_of(*near(4))
     decide(policy, call(), n0=None)
@@ -31,18 +31,18 @@
     assert "n0" in [record.name for record in decision.targets]
 
 
-def test_a_request_at_a_target_that_is_silent_goes_to_another_one():
-    """Symptom: lookups take their whole deadline although 19 targets are well.
+def test_request_at_an_unresponsive_target_is_hedged():
+    """Guards against idempotent requests that wait for a crashed target.
 
-    Events: a target's machine goes dark while it runs the lookup. Cause: nothing
-    told that the answer would not come.
+    If the machine of a target fails while the request runs, the connection gives no
+    sign, and the request would wait up to its deadline although 19 other targets work.
     """
     policy = policy_of(*near(4))
     train_route(policy, "r", 0.1)
     attempt = in_flight(policy, 2.0)
     assert policy.hedge(attempt.call, 2.05) is None
-    ask = policy.hedge(attempt.call, 2.2)
-    assert [record.name for record in ask.targets] == [attempt.target_name]
+    check = policy.hedge(attempt.call, 2.2)
+    assert [record.name for record in check.targets] == [attempt.target_name]
     policy.note_check(attempt.target_name, None, False, 2.21)
     second = policy.hedge(attempt.call, 2.23)
     assert second.attempt.kind is AttemptKind.HEDGE
@@ -50,7 +50,7 @@
     assert policy.hedge(attempt.call, 2.3) is None
 
 
-def test_a_request_that_is_only_slow_is_left_alone():
+def test_slow_request_at_a_responsive_target_is_not_hedged():
     policy = policy_of(*near(4))
     train_route(policy, "r", 0.1)
     attempt = in_flight(policy, 2.0)
@@ -59,14 +59,14 @@
     assert policy.hedge(attempt.call, 2.22) is None
 
 
-def test_a_request_that_takes_far_too_long_is_sent_again_all_the_same():
+def test_stuck_request_is_hedged_without_a_check():
     policy = policy_of(*near(4))
     train_route(policy, "r", 0.1)
     attempt = in_flight(policy, 2.0)
     assert isinstance(policy.hedge(attempt.call, 2.6), Send)
 
 
-def test_an_order_is_never_sent_again_because_it_is_slow():
+def test_slow_request_that_is_not_idempotent_is_never_hedged():
     policy = policy_of(*near(4))
     train_route(policy, "r", 0.1)
     req = Call(arrived=2.0, deadline=9.0, idempotent=False, route="r")
@@ -74,7 +74,7 @@
     assert policy.hedge(req, 8.0) is None
 
 
-def test_hedges_keep_to_the_budget_of_retries():
+def test_hedges_stay_within_the_retry_budget():
     policy = policy_of(*near(30))
     train_route(policy, "r", 0.1)
     hedges = 0
--- a/tests/policy/test_loads.py
+++ b/tests/policy/test_loads.py
@@ -7,10 +7,10 @@
 from cairnferry.policy import settings_for
 
 SEEDS = (1, 2)
-# Where a gain is small against what seeds differ by: the mean of two of a burst with
-# few slots varies by 0.03.
+# For gains that are small compared with the variation between seeds: the mean of two
+# seeds varies by 0.03 for a burst at targets with few slots.
 MANY_SEEDS = tuple(range(1, 9))
-ASKING = settings_for("ask-first")
+STATUS_CHECKS = settings_for("ask-first")
 
 
 def in_time(load, settings, site=SITES["six slots"], seeds=SEEDS):
@@ -18,62 +18,67 @@
     return sum(result.share(Outcome.IN_TIME) for result in results) / len(seeds)
 
 
-def asking(**changes):
-    return attrs.evolve(ASKING, seek=attrs.evolve(ASKING.seek, **changes))
+def with_checks(**changes):
+    return attrs.evolve(
+        STATUS_CHECKS,
+        status_checks=attrs.evolve(STATUS_CHECKS.status_checks, **changes),
+    )
 
 
 @pytest.mark.parametrize("load", LOADS)
-def test_asking_serves_more_in_time_than_choosing_by_what_is_known(load):
-    """Symptom: a third of the lookups come late on a calm day.
+def test_status_checks_serve_more_requests_in_time_than_baselines(load):
+    """Guards against a choice by obsolete reports, with a third of the lookups late.
 
-    Cause: neighbours on the targets' machines change their pace several times a
-    second, and what an earlier answer said of it is no longer true.
+    Other workloads on the targets' machines change their speed several times a second,
+    so that the report in an earlier answer is no longer valid.
     """
-    ours = in_time(load, ASKING)
+    ours = in_time(load, STATUS_CHECKS)
     assert ours > in_time(load, settings_for("two-choices")) + 0.05
     assert ours > in_time(load, settings_for("random")) + 0.05
 
 
 @pytest.mark.parametrize("load", ["burst", "slow targets", "scale-in"])
 def test_using_all_slots_serves_more_in_time_where_targets_have_few(load):
-    """Symptom: requests are refused while half of the slots stand idle.
+    """Guards against refusals while half of the slots are idle.
 
-    Events: targets have two slots, and load is at its worst. Cause: a share of slots
-    that was left free is one slot of two; see `calm_share`.
+    At targets with two slots, reserving a share of the slots leaves one of them unused;
+    see `unconditional_share`.
     """
     site = SITES["two slots"]
-    spared = in_time(load, asking(calm_share=0.8), site, MANY_SEEDS)
-    assert in_time(load, ASKING, site, MANY_SEEDS) > spared + 0.02
+    reserved = in_time(load, with_checks(unconditional_share=0.8), site, MANY_SEEDS)
+    assert in_time(load, STATUS_CHECKS, site, MANY_SEEDS) > reserved + 0.02
 
 
 @pytest.mark.parametrize("load", ["steady", "burst", "scale-in"])
 def test_targets_with_one_slot_are_used(load):
-    """Symptom: nearly every request is refused at once. Cause: no target with a single
-    slot can have a share of it left free."""
-    assert in_time(load, ASKING, SITES["one zone"]) > 0.55
+    """Guards against refusing nearly every request.
+
+    A target with a single slot would never be used if a share of it had to stay free.
+    """
+    assert in_time(load, STATUS_CHECKS, SITES["one zone"]) > 0.55
 
 
 @pytest.mark.parametrize("load", ["steady", "scale-in"])
-def test_near_targets_that_are_good_enough_spare_bytes_between_zones(load):
-    """Symptom: most of a day's price are bytes between zones.
+def test_good_targets_of_the_own_zone_avoid_traffic_between_zones(load):
+    """Guards against traffic between zones that has no benefit.
 
-    Cause: targets of all zones were asked as soon as no idle one was near, though
-    the best near one would have answered in time.
+    Targets of all zones must not be checked whenever the own zone has no idle target,
+    because the best target of the own zone may still answer in time.
     """
-    everywhere = asking(near_costs=(1.0, 1.0, 1.0), near_share=0.0)
+    everywhere = with_checks(near_costs=(1.0, 1.0, 1.0), near_share=0.0)
     site = SITES["two slots"]
-    near_first = play(LOADS[load], ASKING, 1, site=site)
-    asked_all = play(LOADS[load], everywhere, 1, site=site)
-    assert near_first.far_checks < 0.7 * asked_all.far_checks
-    assert near_first.worth > asked_all.worth - 0.01
+    near_zone_first = play(LOADS[load], STATUS_CHECKS, 1, site=site)
+    all_zones = play(LOADS[load], everywhere, 1, site=site)
+    assert near_zone_first.far_checks < 0.7 * all_zones.far_checks
+    assert near_zone_first.worth > all_zones.worth - 0.01
 
 
-def test_asking_in_rounds_asks_little_while_load_is_low():
-    result = play(LOADS["steady"], ASKING, 1)
+def test_few_status_checks_are_made_at_low_load():
+    result = play(LOADS["steady"], STATUS_CHECKS, 1)
     assert result.checks / result.callers < 5
 
 
-def test_a_storm_of_retries_is_not_made_worse():
-    """Symptom: a service stays down after a burst, since all repeat at once."""
-    result = play(LOADS["retry storm"], ASKING, 1)
-    assert result.repeats <= 0.2 * result.attempts
+def test_retry_storm_is_not_amplified():
+    """Guards against an overload that persists after a burst because of retries."""
+    result = play(LOADS["retry storm"], STATUS_CHECKS, 1)
+    assert result.retries <= 0.2 * result.attempts
--- a/tests/policy/test_pressure.py
+++ b/tests/policy/test_pressure.py
@@ -1,4 +1,4 @@
-"""More requests than the targets can answer in time."""
+"""Behaviour under overload: more requests than the targets can answer in time."""
 
 import pytest
 
@@ -19,7 +19,7 @@
 )
 
 
-def test_a_request_waits_at_a_target_if_it_is_in_time_there():
+def test_request_is_sent_to_a_full_target_if_it_meets_its_objective():
     policy = policy_of(*near(3))
     train_route(policy, "r", 0.1)
     req = call(now=2.0, objective=2.8, route="r")
@@ -28,11 +28,11 @@
 
 
 @pytest.mark.parametrize("slots", [1, 2, 4])
-def test_a_free_slot_is_used_however_few_there_are(slots):
-    """Symptom: requests are refused while slots stand idle.
+def test_free_slot_is_used_at_targets_with_few_slots(slots):
+    """Guards against refusals while slots are idle.
 
-    Events: all but one slot of each target is in use, and the objective is near.
-    Cause: a share of the slots was left free, which is half of a target with two.
+    All but one slot of each target are in use, and the objective is near. Reserving a
+    share of the slots would leave half of a target with two slots unused.
     """
     policy = policy_of(*near(3, slots=slots))
     train_route(policy, "r", 0.1)
@@ -42,12 +42,12 @@
     assert isinstance(decide(policy, req, now=2.0, **busy(slots))[0], Refuse)
 
 
-def test_a_request_that_would_come_late_is_refused_at_once():
-    """Symptom: in a burst nearly every answer comes late, while targets are busy.
+def test_request_that_would_miss_its_objective_is_refused_at_once():
+    """Guards against a burst in which nearly every answer is late.
 
-    Events: requests come at 1.6 times what the targets can do. All are let in, the
-    targets' queues fill, and what leaves them has passed its objective. Cause: each
-    request was sent although its own wait was known.
+    At 1.6 times the capacity of the targets, admitting every request fills the queues
+    of the targets, and every request that leaves them has missed its objective. The
+    expected wait of a request is known before it is sent.
     """
     policy = policy_of(*near(3))
     train_route(policy, "r", 0.1)
@@ -57,7 +57,7 @@
     assert decision.cause is Cause.OVERLOAD
 
 
-def test_short_work_still_finds_room_where_long_work_does_not():
+def test_short_requests_are_admitted_where_long_ones_are_refused():
     policy = policy_of(*near(3))
     train_route(policy, "long", 0.3)
     train_route(policy, "short", 0.03, start=1.0)
@@ -79,14 +79,14 @@
     assert isinstance(decide(policy, other, now=2.0, **full)[0], Refuse)
 
 
-def test_a_free_slot_is_used_even_if_the_answer_will_be_late():
+def test_free_slot_is_used_even_if_the_objective_is_missed():
     policy = policy_of(*near(3))
     train_route(policy, "r", 0.1)
     req = call(now=2.0, objective=2.01, route="r")
     assert isinstance(decide(policy, req, now=2.0, **busy(2, slowdown=4.0))[0], Send)
 
 
-def test_those_refused_together_come_back_spread_and_in_time():
+def test_retry_after_of_refused_requests_is_spread_and_meets_the_objective():
     policy = policy_of(*near(3))
     train_route(policy, "r", 0.1)
     returns = []
@@ -98,10 +98,11 @@
     assert all(0.05 <= after <= 0.15 for after in returns)
 
 
-def test_a_request_that_targets_shed_is_told_to_come_back_in_time():
-    """Symptom: targets shed half of all requests, and those that come back are late.
+def test_retry_after_of_a_shed_request_meets_the_objective():
+    """Guards against retries that miss their objective.
 
-    Cause: only what the policy itself refused was told when to come back in time.
+    A request that targets shed needs a Retry-After that leaves time for its objective,
+    like a request that the policy refuses.
     """
     policy = policy_of(*near(3))
     train_route(policy, "r", 0.1)
--- a/tests/policy/test_restarts.py
+++ b/tests/policy/test_restarts.py
@@ -1,4 +1,4 @@
-"""Targets that start again under their name: nothing learnt of before holds."""
+"""Targets that restart under the same name: state of the earlier run is invalid."""
 
 from cairnferry.policy import (
     Answered,
@@ -15,8 +15,8 @@
 OLD, NEW = 1000, 2000
 
 
-def restarted(**more):
-    """Give a policy whose only target starts again while a request is there."""
+def restarted_policy(**more):
+    """Return a policy whose only target restarts during a request, and its attempt."""
     policy = with_retry_tokens(policy_of(target("n0", started_ms=OLD)))
     req = call(**more)
     decision, _ = decide_identified(policy, req)
@@ -38,12 +38,12 @@
     return found
 
 
-def test_what_was_learnt_of_the_earlier_start_is_void():
-    """Symptom: a target that has just restarted gets no requests for seconds.
+def test_state_of_the_earlier_run_is_discarded():
+    """Guards against a restarted target that gets no requests for seconds.
 
-    Events: it fails, is ejected, and starts again. Cause: beliefs were kept by name.
+    If state is kept by name, the ejection of the earlier run applies to the new one.
     """
-    policy, attempt = restarted()
+    policy, attempt = restarted_policy()
     policy.finished(attempt, Answered(failed=True), 1.2)
     policy.note_draining(f"n0@{OLD}", DrainSource.PLATFORM, 99.0)
     policy.note_check(f"n0@{OLD}", LoadReport(4, 9.0), False, 1.2)
@@ -54,39 +54,41 @@
     assert (fresh.slowdown, fresh.in_flight, fresh.missed_checks) == (1.0, 0, 0)
 
 
-def test_an_answer_of_the_earlier_start_changes_nothing_of_the_later_one():
-    """Symptom: a target counts one request less than it has. Cause: the answer to a
-    request of the earlier start was counted off the later one."""
-    policy, attempt = restarted()
+def test_answer_of_the_earlier_run_does_not_affect_the_new_run():
+    """Guards against a wrong number of requests in flight at a restarted target.
+
+    The answer to a request of the earlier run must not be counted off the new one.
+    """
+    policy, attempt = restarted_policy()
     decision, _ = decide_identified(policy, call(now=1.2), now=1.2)
     assert isinstance(decision, Send)
     policy.finished(attempt, Answered(), 1.3)
     assert state(policy).in_flight == 1
 
 
-def test_a_request_at_the_earlier_start_stays_possibly_run():
-    policy, attempt = restarted()
+def test_request_at_the_earlier_run_stays_possibly_run():
+    policy, attempt = restarted_policy()
     attempt.call.idempotent = False
     decision = policy.finished(attempt, Lost(), 1.2)
     assert isinstance(decision, GiveUp)
 
 
-def test_a_request_may_be_repeated_at_the_later_start():
-    policy, attempt = restarted()
+def test_request_may_be_retried_at_the_new_run():
+    policy, attempt = restarted_policy()
     assert not attempt.call.tried(state(policy))
     decision = policy.finished(attempt, Lost(), 1.2)
     assert isinstance(decision, CheckStatus)
     assert decision.targets[0].identity == f"n0@{NEW}"
 
 
-def test_a_changed_row_of_the_same_start_keeps_what_was_learnt():
+def test_changed_record_of_the_same_run_keeps_its_state():
     policy = policy_of(target("n0", started_ms=OLD))
     decide_identified(policy, call())
     policy.update(policy.service, [target("n0", started_ms=OLD, slots=9)], 1.1)
     assert state(policy).in_flight == 1
 
 
-def test_targets_without_a_start_are_known_by_name():
+def test_targets_without_a_start_time_are_identified_by_name():
     policy = policy_of(target("n0"))
     assert isinstance(decide(policy, call())[0], Send)
     assert state(policy).identity == "n0"
--- a/tests/policy/test_service.py
+++ b/tests/policy/test_service.py
@@ -1,4 +1,4 @@
-"""Evidence, budgets, limits and the queue, with a clock of the test's own."""
+"""Evidence, retry budgets, concurrency limits and the queue of `ServicePolicy`."""
 
 import pytest
 from hypothesis import given, settings
@@ -33,26 +33,26 @@
 # -- evidence ---------------------------------------------------------------------
 
 
-def test_a_whole_answer_is_relayed():
+def test_complete_answer_is_relayed():
     policy = make_policy()
     assert policy.finished(send(policy), Answered(), 0.1) == Relay()
 
 
 @pytest.mark.parametrize("result", [TargetRefused(), NotRun()])
-def test_what_did_not_run_may_go_elsewhere_even_if_not_idempotent(result):
+def test_request_that_did_not_run_is_retried_even_if_not_idempotent(result):
     policy = make_policy()
     first = send(policy, idempotent=False)
-    again = policy.finished(first, result, 0.1)
-    assert isinstance(again, Send)
-    assert again.attempt.kind is AttemptKind.RETRY
-    assert again.attempt.target_name != first.target_name
+    retry = policy.finished(first, result, 0.1)
+    assert isinstance(retry, Send)
+    assert retry.attempt.kind is AttemptKind.RETRY
+    assert retry.attempt.target_name != first.target_name
 
 
-def test_what_may_have_run_is_not_sent_again_unless_idempotent():
-    """Symptom: a licensing order is billed twice.
+def test_request_that_may_have_run_is_retried_only_if_idempotent():
+    """Guards against an order that is executed twice.
 
-    Events: a target takes the order and its answer is lost. Cause: a lost
-    answer says nothing of the order; only an idempotent request may go again.
+    If the answer is lost, the order may have run, and only an idempotent request may
+    be retried.
     """
     policy = make_policy()
     decision = policy.finished(send(policy, idempotent=False), Lost(), 0.1)
@@ -60,11 +60,11 @@
     assert isinstance(policy.finished(send(policy), Lost(), 0.2), Send)
 
 
-def test_not_run_is_said_only_if_no_attempt_may_have_run():
-    """Symptom: a caller is told "not run" for a request that ran.
+def test_not_run_is_reported_only_if_no_attempt_may_have_run():
+    """Guards against reporting "not run" for a request that ran.
 
-    Events: the first attempt's answer is lost, the second is refused. Cause:
-    the last evidence alone was looked at.
+    The answer to the first attempt is lost and the second attempt is refused. The
+    evidence of all attempts counts, not only that of the last one.
     """
     policy = make_policy()
     second = policy.finished(send(policy), Lost(), 0.1)
@@ -80,7 +80,7 @@
 
 @settings(max_examples=300, derandomize=True, deadline=None)
 @given(st.lists(RESULTS, min_size=8, max_size=8), st.booleans())
-def test_evidence_holds_for_any_course_of_events(results, idempotent):
+def test_evidence_is_respected_for_any_sequence_of_results(results, idempotent):
     policy = make_policy(8)
     decision = policy.arrive(make_call(idempotent=idempotent), 0.0)
     possible_runs = 0
@@ -95,7 +95,7 @@
     assert step <= policy.settings.max_attempts
 
 
-def test_the_first_good_answer_of_a_race_wins():
+def test_first_successful_answer_of_a_hedged_request_is_relayed():
     policy = make_policy()
     now = warm_up(policy)
     first = send(policy, now)
@@ -105,22 +105,22 @@
     assert policy.finished(hedge, Answered(), now) == Relay()
 
 
-def test_a_target_that_hangs_is_ejected_although_hedges_cut_its_attempts():
-    """Symptom: each request to a lost zone waits for its hedge, again and again.
+def test_hanging_target_is_ejected_although_hedges_cancel_its_attempts():
+    """Guards against targets of a failed zone that are never ejected.
 
-    Events: a target takes requests and never answers; each attempt is cut when
-    its hedge wins. Cause: what is cut counted as no failure.
+    A target accepts requests and never answers; each attempt is cancelled when its
+    hedge succeeds. A cancelled slow attempt has to count as a failure.
     """
     policy = make_policy(4)
     now = warm_up(policy)
     for _ in range(3):
         attempt = send(policy, now)
-        stuck = state(policy)
+        hanging = state(policy)
         attempt.target.note_finished(attempt.started)
-        attempt.target = stuck
-        stuck.note_sent(attempt.started)
+        attempt.target = hanging
+        hanging.note_sent(attempt.started)
         policy.cancelled(attempt, now + 1)
-    assert stuck.ejected_until
+    assert hanging.ejected_until
 
 
 def test_only_idempotent_requests_are_hedged():
@@ -131,11 +131,8 @@
 # -- budgets ----------------------------------------------------------------------
 
 
-def test_attempts_stay_near_one_when_everything_fails():
-    """Symptom: an outage of all targets turns into many times the load.
-
-    Events: all targets fail. Cause: each failure is answered with a retry.
-    """
+def test_few_attempts_per_request_when_all_targets_fail():
+    """Guards against retries that multiply the load while all targets fail."""
     policy = make_policy(16)
     requests = 2000
     attempts = 0
@@ -149,11 +146,11 @@
     assert attempts <= 1.1 * requests
 
 
-def test_one_target_that_refuses_does_not_use_up_the_budget():
-    """Symptom: requests are lost although most targets have room.
+def test_single_refusing_target_does_not_use_up_the_budget():
+    """Guards against failed requests although most targets have capacity.
 
-    Events: one target of four sheds all it is offered. Cause: its refusals used
-    up the retry budget before its pauses grew long enough.
+    One target of four sheds every request. Its refusals must not use up the retry
+    budget before its pauses have grown long enough.
     """
     policy = make_policy(4)
     now = 0.0
@@ -168,7 +165,7 @@
 
 
 @pytest.mark.parametrize("result", [TargetRefused(), NotRun()])
-def test_attempts_stay_near_one_when_every_target_refuses(result):
+def test_few_attempts_per_request_when_all_targets_refuse(result):
     policy = make_policy(16)
     attempts = 0
     for step in range(2000):
@@ -179,7 +176,7 @@
     assert attempts <= 1.1 * 2000
 
 
-def test_a_request_that_is_itself_a_retry_is_not_repeated():
+def test_request_that_a_layer_above_retries_is_not_retried():
     policy = make_policy()
     attempt = send(policy, may_retry=False)
     assert isinstance(policy.finished(attempt, NotRun(), 0.1), Refuse)
@@ -200,12 +197,12 @@
         attempts.append(decision.attempt)
 
 
-def test_no_more_is_in_flight_than_all_targets_have_slots():
+def test_requests_in_flight_do_not_exceed_the_slots_of_all_targets():
     policy = make_policy(2, slots=3)
     assert len(fill(policy)) == 6
 
 
-def test_what_waits_gets_the_room_that_comes_up():
+def test_waiting_request_is_sent_when_capacity_becomes_free():
     policy = make_policy(1, slots=1)
     attempt = send(policy)
     call = make_call()
@@ -217,7 +214,7 @@
     assert isinstance(decision, Send)
 
 
-def test_interactive_requests_go_first_and_then_the_nearest_deadline():
+def test_queue_orders_by_priority_and_then_by_deadline():
     policy = make_policy(1, slots=1)
     attempt = send(policy)
     late = make_call(seconds=0.9)
@@ -234,11 +231,11 @@
     assert order == [soon, late, background]
 
 
-def test_waiting_background_work_does_not_hold_up_interactive_requests():
-    """Symptom: the catalogue's answers are late while the archive is crawled.
+def test_waiting_background_requests_do_not_delay_interactive_ones():
+    """Guards against interactive requests that queue behind background requests.
 
-    Events: background requests wait, since they get no more room; an interactive
-    one arrives. Cause: it queued behind them although there was room for it.
+    Background requests wait because their share of the capacity is used up, while
+    there is capacity for an interactive request.
     """
     policy = make_policy(4)
     while isinstance(policy.arrive(make_call(priority=Priority.BACKGROUND), 0.0), Send):
@@ -247,7 +244,7 @@
     assert isinstance(policy.arrive(make_call(), 0.0), Send)
 
 
-def test_a_full_queue_refuses_at_once_and_background_gives_way():
+def test_full_queue_refuses_at_once_and_displaces_background_requests():
     policy = make_policy(1, slots=1)
     send(policy)
     background = make_call(priority=Priority.BACKGROUND)
@@ -264,7 +261,7 @@
     assert decision.cause is Cause.OVERLOAD
 
 
-def test_what_cannot_make_its_deadline_is_refused_while_it_waits():
+def test_waiting_request_that_cannot_meet_its_deadline_is_refused():
     policy = make_policy(1, slots=1)
     now = warm_up(policy, latency=0.1)
     send(policy, now)
@@ -276,7 +273,7 @@
     assert refused.cause is Cause.DEADLINE
 
 
-def test_what_cannot_make_its_deadline_is_refused_at_once():
+def test_new_request_that_cannot_meet_its_deadline_is_refused_at_once():
     policy = make_policy(1, slots=1)
     now = warm_up(policy, latency=0.1)
     send(policy, now)
@@ -284,17 +281,17 @@
     assert policy.arrive(make_call(now, seconds=0.0), now).cause is Cause.DEADLINE
 
 
-def test_the_window_is_cut_when_targets_queue_and_grows_when_they_do_not():
+def test_window_shrinks_when_targets_queue_and_grows_when_they_do_not():
     policy = make_policy(4)
-    before = policy._room._window.limit
+    before = policy._capacity._window.limit
     now = 0.0
     for _ in range(100):
         now += 1
         attempt = send(policy, now)
         policy._targets._chooser.mean_others_load = 0.0
         policy.finished(attempt, Answered(report=LoadReport(9)), now + 0.005)
-    assert policy._room._window.limit == policy._room._window.minimum
-    cut = policy._room._window.limit
+    assert policy._capacity._window.limit == policy._capacity._window.minimum
+    cut = policy._capacity._window.limit
     assert cut < before / 2
     for _ in range(400):
         now += 0.01
@@ -302,4 +299,4 @@
         for attempt in attempts:
             policy.finished(attempt, Answered(report=LoadReport(0)), now)
         policy.release(now)
-    assert policy._room._window.limit > cut
+    assert policy._capacity._window.limit > cut
--- a/tests/policy/usable/test_evacuation.py
+++ b/tests/policy/usable/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Targets of an evacuated zone get nothing, whatever kind of attempt it would be."""
+"""Targets of an evacuated zone get no requests of any kind of attempt."""
 
 import pytest
 
@@ -24,7 +24,7 @@
 NEAR = frozenset(["near"])
 
 
-def test_requests_go_to_other_zones_and_come_back_once_it_is_restored():
+def test_requests_go_to_other_zones_until_the_zone_is_restored():
     policy = policy_of(*near(3), *far(3))
     policy.evacuate(NEAR)
     for number in range(10):
@@ -46,8 +46,8 @@
     assert rounds == []
 
 
-def test_an_ejected_target_is_not_tried_while_its_zone_is_evacuated():
-    """Guards against a trial request that reaches an evacuated zone."""
+def test_an_ejected_target_gets_no_trial_while_its_zone_is_evacuated():
+    """Guards against a trial request to an evacuated zone."""
     policy = make_policy(targets=[make_target(0), make_target(1, zone="far")])
     state(policy).ejected_until = 0.5
     policy.evacuate(NEAR)
@@ -56,8 +56,8 @@
         assert decision.attempt.target_name == "t1"
 
 
-def test_a_repeat_of_a_lost_request_does_not_go_there():
-    """Guards against a second attempt at a zone that was evacuated meanwhile."""
+def test_a_retry_of_a_lost_request_does_not_go_to_an_evacuated_zone():
+    """Guards against a second attempt in a zone that was evacuated meanwhile."""
     policy = with_retry_tokens(policy_of(*near(2), *far(1)))
     decision, _ = decide(policy, call())
     policy.evacuate(NEAR)
@@ -92,7 +92,7 @@
     assert decide(policy, call())[0].attempt.target_name in ("n0", "n1", "n2")
 
 
-def test_the_reason_is_shown():
+def test_the_state_dump_contains_the_reason():
     policy = policy_of(*near(1), *far(1))
     policy.evacuate(NEAR)
     shown = {
@@ -101,8 +101,8 @@
     assert shown == {"n0": "evacuated", "f0": None}
 
 
-def test_an_ejected_target_that_leaves_is_not_tried():
-    """Guards against a trial at a target that is out of use for another reason too."""
+def test_an_ejected_target_that_is_leaving_gets_no_trial():
+    """Guards against a trial of a target that is out of use for another reason too."""
     policy = ejected(policy_of(*near(3)))
     policy.note_draining("n0", DrainSource.PLATFORM, 60.0)
     decision, _ = decide(policy, call(now=9.0), now=9.0)
--- a/tests/policy/usable/test_leaving.py
+++ b/tests/policy/usable/test_leaving.py
@@ -1,4 +1,4 @@
-"""Targets that say in their answers that they are leaving: nothing more is sent."""
+"""Targets that announce in their responses that they leave get no more requests."""
 
 import math
 
@@ -20,10 +20,10 @@
     target,
 )
 
-FOR_GOOD = TargetAdvisory(leaving_s=math.inf)
+LEAVING_FOR_EVER = TargetAdvisory(leaving_s=math.inf)
 
 
-def leave(policy, name, now=1.0, words=FOR_GOOD):
+def leave(policy, name, now=1.0, words=LEAVING_FOR_EVER):
     policy.note_advisory(name, words, now)
 
 
@@ -36,8 +36,8 @@
     return names
 
 
-def test_it_gets_nothing_more_however_well_it_answers():
-    """Guards against an answer, a check or a report that takes the word back."""
+def test_a_leaving_target_gets_no_more_requests_even_if_it_responds():
+    """Guards against a response, a check or a report that cancels the announcement."""
     policy = policy_of(*near(2))
     decision, _ = decide(policy, call())
     leave(policy, decision.attempt.target_name)
@@ -47,8 +47,8 @@
         assert decision.attempt.target_name not in chosen(policy, now)
 
 
-def test_a_row_that_calls_it_ready_does_not_take_it_back():
-    """Guards against a changed row, a row that is gone for a moment, or a reload."""
+def test_a_row_with_a_ready_target_does_not_cancel_the_announcement():
+    """Guards against a cancellation by a changed row, a missing row or a reload."""
     policy = policy_of(*near(2))
     leave(policy, "n0")
     for now, targets in (
@@ -60,14 +60,14 @@
         assert "n0" not in chosen(policy, now)
 
 
-def test_a_service_that_is_dropped_and_back_remembers_it():
+def test_the_announcement_remains_valid_if_its_service_is_removed_and_added():
     advisories = AdvisoryRegistry()
     leave(recreated_policy(*near(2), advisories=advisories, now=1.0), "n0")
     policy = recreated_policy(*near(2), advisories=advisories, now=1.5)
     assert "n0" not in chosen(policy, 1.6)
 
 
-def test_the_next_start_of_it_is_used():
+def test_the_next_start_of_a_leaving_target_is_used():
     policy = policy_of(target("n0", started_ms=1000), target("n1", started_ms=1))
     leave(policy, "n0@1000")
     policy.update(
@@ -76,7 +76,7 @@
     assert "n0" in chosen(policy, 1.2)
 
 
-def test_where_starts_have_no_names_the_word_lapses():
+def test_the_announcement_expires_if_starts_have_no_identity():
     """Guards against a target that is never used again under its name."""
     policy = policy_of(*near(2))
     leave(policy, "n0", words=TargetAdvisory(leaving_s=30.0))
@@ -84,8 +84,8 @@
     assert "n0" in chosen(policy, 31.1)
 
 
-def test_what_it_has_in_hand_is_answered_and_its_end_is_none_under_requests():
-    """Guards against a target that leaves being taken for one that crashed."""
+def test_requests_in_flight_at_a_leaving_target_are_answered():
+    """Guards against a leaving target that counts as crashed."""
     policy = policy_of(*near(1))
     decision, _ = decide(policy, call())
     leave(policy, "n0")
@@ -94,7 +94,7 @@
     assert policy.in_flight == 0
 
 
-def test_where_all_leave_requests_are_refused_at_once():
+def test_requests_are_refused_at_once_if_all_targets_are_leaving():
     policy = policy_of(*near(2))
     leave(policy, "n0")
     leave(policy, "n1")
@@ -103,10 +103,10 @@
     assert decision.cause is Cause.NO_TARGET
 
 
-def test_it_is_told_once():
+def test_a_leaving_target_is_reported_once():
     policy = policy_of(*near(2))
-    policy.note_advisory("n0", FOR_GOOD, 1.0, heard_by="req-1")
-    policy.note_advisory("n0", FOR_GOOD, 2.0, heard_by="req-2")
+    policy.note_advisory("n0", LEAVING_FOR_EVER, 1.0, heard_by="req-1")
+    policy.note_advisory("n0", LEAVING_FOR_EVER, 2.0, heard_by="req-2")
     (event,) = policy.take_events()
     assert (event.target, str(event.condition)) == ("n0", "is leaving")
     assert event.inputs == {"heard_by": "req-1"}
--- a/tests/policy/usable/test_limited_targets.py
+++ b/tests/policy/usable/test_limited_targets.py
@@ -1,4 +1,4 @@
-"""Requests and targets that name a limit: which go there, and what the others get."""
+"""Distribution of requests over limited and unlimited targets."""
 
 from collections import deque
 
@@ -32,7 +32,7 @@
     held.extend([Permit(start, end)] * count)
 
 
-def test_a_limited_target_without_a_permit_is_neither_asked_nor_sent_anything():
+def test_a_limited_target_without_a_permit_gets_no_checks_and_no_requests():
     policy = policy_of(*near(3))
     limit(policy, "n0", "n1")
     for number in range(20):
@@ -43,8 +43,8 @@
         policy.finished(decision.attempt, Answered(), now + 0.05)
 
 
-def test_a_permit_is_used_before_targets_without_a_limit_and_once():
-    """Else what a limit allows would be lost where others have room."""
+def test_a_permit_is_used_once_and_before_targets_without_a_limit():
+    """Guards against an unused limit while other targets have capacity."""
     policy = policy_of(*near(12))
     limit(policy, "n7")
     permit(policy, "n7")
@@ -55,7 +55,7 @@
     assert decision.attempt.target_name != "n7"
 
 
-def test_a_permit_is_kept_if_its_target_is_much_the_slower_one():
+def test_a_permit_for_a_much_slower_target_is_not_used():
     policy = policy_of(*near(3))
     limit(policy, "n0")
     permit(policy, "n0")
@@ -64,7 +64,7 @@
     assert policy.limits.held("n0") == 1
 
 
-def test_where_all_have_limits_a_request_is_refused_at_once_and_told_when():
+def test_if_all_targets_are_limited_a_request_is_refused_with_a_retry_time():
     policy = policy_of(*near(2), *far(1))
     limit(policy, "n0", "n1", "f0")
     permit(policy, "n1", start=1.4)
@@ -76,11 +76,11 @@
     assert isinstance(decision, Send)
 
 
-def test_a_request_waits_for_a_permit_that_is_held_for_a_moment_later():
-    """Symptom: with one target at a limit near its load a third is refused.
+def test_a_request_waits_for_a_permit_that_is_valid_soon():
+    """Guards against the refusal of a third of the requests at a limit near the load.
 
-    Permits come one after the other, and a request that comes 30 ms before the next one
-    was told to come back over another connection.
+    Permits are evenly spaced, and a request that arrives 30 ms before the next one must
+    not be refused with a retry over another connection.
     """
     policy = policy_of(*near(1))
     limit(policy, "n0")
@@ -94,7 +94,7 @@
     assert isinstance(policy.resume(req, 1.031), Send)
 
 
-def test_a_request_does_not_wait_for_what_others_take_first():
+def test_a_request_is_refused_if_another_one_takes_the_permit_it_waits_for():
     policy = policy_of(*near(1))
     limit(policy, "n0")
     permit(policy, "n0", start=1.03)
@@ -116,7 +116,7 @@
     assert decision.cause is Cause.TARGET_LIMIT
 
 
-def test_a_repeat_needs_a_permit_of_its_own():
+def test_a_retry_needs_its_own_permit():
     policy = policy_of(*near(2))
     limit(policy, "n0", "n1")
     permit(policy, "n0")
@@ -126,7 +126,7 @@
     assert policy.limits.sent == {"n0": 1}
 
 
-def test_a_hedge_needs_a_permit_of_its_own():
+def test_a_hedge_needs_its_own_permit():
     policy = policy_of(*near(2))
     train_route(policy, "r", 0.1)
     limit(policy, "n0", "n1")
@@ -142,8 +142,8 @@
     assert policy.limits.held("n1") == 0
 
 
-def test_no_part_of_its_standing_is_lost_while_a_target_is_spared():
-    """It is well: neither ejected nor silent, and back to its share at once."""
+def test_a_limited_target_keeps_its_state_while_it_gets_no_requests():
+    """It is neither ejected nor silent, and gets its share at once afterwards."""
     policy = policy_of(*near(2))
     limit(policy, "n0")
     for number in range(50):
@@ -165,46 +165,46 @@
         policy.arrive(call(now=now), now)
 
 
-def wanted(policy, now=1.0, barred=()):
-    found = policy.permits_to_request(barred, now)
+def requested_permits(policy, now=1.0, excluded=()):
+    found = policy.permits_to_request(excluded, now)
     return {each.target.name: each.count for each in found}
 
 
-def test_permits_are_wanted_for_as_many_requests_as_come_and_spread():
+def test_permits_are_requested_for_the_expected_requests_and_spread():
     policy = policy_of(*near(4))
     limit(policy, "n0", "n1", "n2")
-    assert wanted(policy) == {}
+    assert requested_permits(policy) == {}
     arrive(policy, 6)
-    assert wanted(policy) == {"n0": 2, "n1": 2, "n2": 2}
+    assert requested_permits(policy) == {"n0": 2, "n1": 2, "n2": 2}
     permit(policy, "n1")
-    assert wanted(policy)["n1"] == 1
-    # Demand of more than a second ago says nothing of the next one.
-    assert wanted(policy, now=2.5) == {}
+    assert requested_permits(policy)["n1"] == 1
+    # Requests from more than a second ago do not count for the expected ones.
+    assert requested_permits(policy, now=2.5) == {}
 
 
-def test_with_few_requests_the_next_target_is_asked_about_if_one_has_none():
+def test_a_permit_for_the_next_target_is_requested_if_one_is_excluded():
     policy = policy_of(*near(4))
     limit(policy, "n0", "n1", "n2")
     arrive(policy, 1)
-    first = wanted(policy)
+    first = requested_permits(policy)
     assert sum(first.values()) == 1
-    second = wanted(policy, barred=set(first))
+    second = requested_permits(policy, excluded=set(first))
     assert sum(second.values()) == 1
     assert first.keys() != second.keys()
 
 
-def test_permits_for_other_zones_are_wanted_only_if_near_targets_do_not_do():
+def test_permits_for_other_zones_are_requested_only_if_near_targets_are_limited():
     policy = policy_of(*near(2), *far(2))
     limit(policy, "f0", "f1")
     arrive(policy, 3)
-    assert wanted(policy) == {}
+    assert requested_permits(policy) == {}
     limit(policy, "n0", "n1")
     decision, _ = decide(policy, call())
     assert decision.cause is Cause.TARGET_LIMIT
-    assert {"f0", "f1"} <= wanted(policy).keys()
+    assert {"f0", "f1"} <= requested_permits(policy).keys()
 
 
-def test_where_targets_are_not_asked_a_request_waits_for_a_permit():
+def test_without_status_checks_a_request_waits_for_a_permit():
     policy = make_policy(2)
     limit(policy, "t0", "t1")
     req = make_call()
@@ -216,7 +216,7 @@
     assert policy.limits.held("t1") == 0
 
 
-def test_where_targets_are_not_asked_a_permit_is_used_first():
+def test_without_status_checks_a_permit_is_used_first():
     policy = make_policy(6)
     limit(policy, "t4")
     permit(policy, "t4")
@@ -225,13 +225,13 @@
 
 
 def urgent_and_other(policy):
-    """Let the policy see that requests of two ranks come."""
+    """Record arrivals of requests of two ranks."""
     policy._work.note_arrival("orders", 1)
     policy._work.note_arrival("lookups", 2)
 
 
-def test_where_all_have_limits_urgent_requests_have_the_first_choice():
-    """Symptom: orders are refused while lookups, which came first, are served."""
+def test_if_all_targets_are_limited_urgent_requests_get_permits_first():
+    """Guards against orders that are refused while earlier lookups are served."""
     policy = policy_of(*near(1))
     urgent_and_other(policy)
     limit(policy, "n0")
@@ -242,7 +242,7 @@
     assert isinstance(order, Send)
 
 
-def test_a_permit_that_no_urgent_request_uses_is_for_any():
+def test_a_permit_that_no_urgent_request_uses_is_open_to_any():
     policy = policy_of(*near(1))
     urgent_and_other(policy)
     limit(policy, "n0")
@@ -251,7 +251,7 @@
     assert isinstance(lookup, Send)
 
 
-def test_less_urgent_requests_get_a_part_although_urgent_ones_want_it_all():
+def test_less_urgent_requests_get_a_share_if_urgent_ones_could_use_all_permits():
     policy = policy_of(*near(1))
     urgent_and_other(policy)
     limit(policy, "n0", per_s=10.0)
@@ -268,7 +268,7 @@
     assert served == 10
 
 
-def test_where_others_have_no_limit_no_request_stands_back():
+def test_no_permits_are_reserved_if_some_targets_have_no_limit():
     policy = policy_of(*near(2))
     urgent_and_other(policy)
     limit(policy, "n0")
@@ -277,10 +277,11 @@
     assert lookup.attempt.target_name == "n0"
 
 
-def test_a_limited_target_that_was_ejected_comes_back():
-    """Symptom: a target in need that failed for a moment is never used again.
+def test_an_ejected_limited_target_returns():
+    """Guards against a limited target that is never used again after a few failures.
 
-    It was no candidate, so that no permit for it was asked for, and a trial needs one.
+    A trial needs a permit, so permits are requested for ejected targets too, although
+    they are no candidates.
     """
     policy = policy_of(*near(4))
     bad = None
@@ -293,7 +294,7 @@
     assert [event.target for event in policy.take_events()][:1] == [bad]
     limit(policy, bad)
     arrive(policy, 3, now=20.0)
-    assert wanted(policy, now=20.0) == {bad: 1}
+    assert requested_permits(policy, now=20.0) == {bad: 1}
     policy.limits.add_permits(bad, [20.0])
     decision, _ = decide(policy, call(now=20.1), now=20.1)
     assert decision.attempt.target_name == bad
@@ -305,7 +306,7 @@
     assert not decision.attempt.trial
 
 
-def test_urgent_requests_leave_the_open_permit_to_others():
+def test_urgent_requests_use_reserved_permits_before_open_ones():
     policy = policy_of(*near(1))
     urgent_and_other(policy)
     limit(policy, "n0")
