--- a/packages/entry/src/cairnferry/entry/callers/__init__.py
+++ b/packages/entry/src/cairnferry/entry/callers/__init__.py
@@ -1,16 +1,16 @@
-"""A caller's request: its way to a target and back."""
+"""Callers' requests: forwarding to targets, and blocking of harmful requests."""
 
 from cairnferry.entry.callers._callers import BodyLimits, CallersApp
 from cairnferry.entry.callers._forward import Forwarder
 from cairnferry.entry.callers._guard import CrashGuard
-from cairnferry.entry.callers._quarantine_notes import quarantine_board
+from cairnferry.entry.callers._quarantine_notes import quarantine_note_registry
 from cairnferry.entry.callers._startup_retry import StartupRetry
 
 __all__ = [
     "BodyLimits",
     "CallersApp",
-    "Forwarder",
     "CrashGuard",
+    "Forwarder",
     "StartupRetry",
-    "quarantine_board",
+    "quarantine_note_registry",
 ]
--- a/packages/entry/src/cairnferry/entry/callers/_block_table.py
+++ b/packages/entry/src/cairnferry/entry/callers/_block_table.py
@@ -1,4 +1,4 @@
-"""Rows of blocked requests, by which blocks outlive all daemons."""
+"""Stored rows of blocked requests, so that blocks survive a restart of all daemons."""
 
 import json
 import logging
@@ -11,22 +11,22 @@
 from cairnferry.entry._ports import BlockRows, DecodeFault
 from cairnferry.policy import Block, BlockRef
 
-# Rows that are kept; further blocks are only told from daemon to daemon.
+# Maximum number of stored rows. Further blocks are only exchanged between daemons.
 MAX_ROWS = 256
 
 log = logging.getLogger(__name__)
 
 
 @attrs.frozen
-class TableNews:
-    """What a listing of the rows brought.
+class BlockUpdates:
+    """Changes of the rows between two listings.
 
     Attributes
     ----------
     written : dict of BlockRef to Block
         Blocks of rows that were written since the last listing.
     removed : set of BlockRef
-        Blocks whose rows were removed since.
+        Blocks whose rows were removed since the last listing.
     """
 
     written: dict[BlockRef, Block]
@@ -35,30 +35,35 @@
 
 @attrs.define
 class BlockTable:
-    """What the store holds of blocks.
+    """Copy of the stored rows of blocks, and access to the store.
 
     Parameters
     ----------
     rows : BlockRows or None
-        The store; None where there is none for blocks.
+        Store of the rows; None if blocks are not stored.
     """
 
     rows: BlockRows | None = None
     _stored: dict[BlockRef, Row] = attrs.field(factory=dict)
 
-    def take(self, rows: dict[str, Row], era: int = 0) -> TableNews:
-        """Take in all rows by name; those that cannot be read are passed over.
+    def apply_rows(self, rows: dict[str, Row], era: int = 0) -> BlockUpdates:
+        """Apply a listing of all rows, and skip rows that cannot be decoded.
 
         Parameters
         ----------
         rows : dict of str to Row
-            All rows.
+            All rows by name.
         era : int, optional
-            Era of the store that they are of. A row of an earlier one that is missing
-            was not removed: the store lost it, and it is to be written again.
+            Era of the store from which the rows were listed. A missing row of an
+            earlier era was not removed but lost by the store, and is written again.
+
+        Returns
+        -------
+        BlockUpdates
+            Changes since the last listing.
         """
         before = self._stored
-        self._stored = {read_name(name): row for name, row in rows.items()}
+        self._stored = {parse_row_name(name): row for name, row in rows.items()}
         written = {}
         for ref, row in self._stored.items():
             if before.get(ref) is row:
@@ -67,63 +72,64 @@
             if block.is_ok():
                 written[ref] = block.ok
             else:
-                facts = {"row": name_of(ref), "why": str(block.error)}
-                log.warning("block row", extra=facts)
+                facts = {"row": row_name(ref), "why": str(block.error)}
+                log.warning("cannot decode the row of a block", extra=facts)
         removed = {
             ref
             for ref, row in before.items()
             if ref not in self._stored and era_of(row.version) >= era
         }
-        return TableNews(written, removed)
+        return BlockUpdates(written, removed)
 
     def lacks(self, ref: BlockRef) -> bool:
-        """Tell whether there is no row of a block."""
+        """Return whether a block has no row."""
         return ref not in self._stored
 
     def read_all(self) -> dict[BlockRef, Block | None]:
-        """Give the blocks of all rows; None for one that cannot be read."""
+        """Return the blocks of all rows, with None for rows that cannot be decoded."""
         read = {ref: decode_block(row.value) for ref, row in self._stored.items()}
         return {ref: b.ok if b.is_ok() else None for ref, b in read.items()}
 
     def add(self, ref: BlockRef, block: Block) -> None:
-        """Write the row of a new block, unless there are too many."""
+        """Write the row of a new block, unless the maximum number is reached."""
         if self.rows is None or len(self._stored) >= MAX_ROWS:
             return
-        written = self.rows.write(name_of(ref), encode_block(block), 0)
+        written = self.rows.write(row_name(ref), encode_block(block), 0)
         if written.is_error():
-            # Another daemon was first, or the store is away; it is tried again.
+            # Another daemon was first or the store is unavailable. The maintenance of
+            # rows retries a missing row.
             log.info("block not stored", extra={"why": str(written.error)})
 
     def replace(self, ref: BlockRef, block: Block) -> bool:
-        """Write a row anew; tell whether this daemon was the one to do so."""
+        """Overwrite a row; return whether this daemon succeeded in doing so."""
         row = self._stored.get(ref)
         if row is None:
             return False
-        return self.rows.write(name_of(ref), encode_block(block), row.version).is_ok()
+        return self.rows.write(row_name(ref), encode_block(block), row.version).is_ok()
 
     def remove(self, ref: BlockRef) -> None:
-        """Remove a row, unless it was written anew."""
+        """Remove a row, unless it was overwritten meanwhile."""
         row = self._stored.get(ref)
         if self.rows is None or row is None:
             return
-        removed = self.rows.write(name_of(ref), None, row.version)
+        removed = self.rows.write(row_name(ref), None, row.version)
         if removed.is_error():
             log.info("block not removed", extra={"why": str(removed.error)})
 
 
-def name_of(ref: BlockRef) -> str:
-    """Give the name of a block's row."""
+def row_name(ref: BlockRef) -> str:
+    """Return the name of a block's row."""
     return f"{ref.content} {ref.scope}"
 
 
-def read_name(name: str) -> BlockRef:
-    """Read the name of a block's row."""
+def parse_row_name(name: str) -> BlockRef:
+    """Parse the name of a block's row."""
     content, _, scope = name.partition(" ")
     return BlockRef(content, scope)
 
 
 def encode_block(block: Block) -> bytes:
-    """Write a block with the time of day, which all daemons have in common."""
+    """Encode a block with wall-clock time, which all daemons have in common."""
     at = time.time() - (time.monotonic() - block.at)
     document = {
         "at": round(at, 3),
@@ -134,7 +140,7 @@
 
 
 def decode_block(data: bytes) -> Result[Block, DecodeFault]:
-    """Read what `encode_block` wrote."""
+    """Decode a block that was encoded by `encode_block`."""
     try:
         document = json.loads(data)
         age = max(0.0, time.time() - float(document["at"]))
--- a/packages/entry/src/cairnferry/entry/callers/_callers.py
+++ b/packages/entry/src/cairnferry/entry/callers/_callers.py
@@ -1,4 +1,4 @@
-"""WSGI application for callers: steering answers and forwarded requests."""
+"""WSGI application for callers: forwarded requests and steering answers."""
 
 import json
 import time
@@ -34,49 +34,49 @@
 
 STEERING_PATH = "/.well-known/cairnferry/entries"
 MS_PER_S = 1000
-GONE = "499 Caller Gone"
+CALLER_GONE_STATUS = "499 Caller Gone"
 
 
 @attrs.define
 class BodyLimits:
-    """Limits of request bodies; they may be changed while requests are served.
+    """Limits of request bodies, which may change while requests are served.
 
     Attributes
     ----------
     size : int
-        Bytes.
+        Maximum size in bytes.
     seconds : float
-        Time for a body to arrive.
+        Maximum time in seconds for a body to arrive.
     """
 
     size: int
     seconds: float
 
 
-def _starting_alone():
+def _startup_without_peers():
     return StartupRetry(time.monotonic(), lambda: False)
 
 
 @attrs.define
 class CallersApp:
-    """Serves callers.
+    """WSGI application that serves callers.
 
     Parameters
     ----------
     services : Services
         Routes and policies.
     forwarder : Forwarder
-        Brings requests to targets.
-    steering : Steering
-        Says which entry instances to use.
+        Forwards requests to targets.
+    steering : Steering or None
+        Determines which entry instances a caller uses; None if not served here.
     metrics : Metrics
-        Counts.
+        Counts requests.
     limits : BodyLimits
-        Limits of bodies.
+        Limits of request bodies.
     convention : CallerConvention, optional
-        How callers speak.
-    starting : StartupRetry, optional
-        When to come back while there are no rules.
+        Header conventions of callers.
+    startup_retry : StartupRetry, optional
+        Determines Retry-After while this daemon has no rules.
     """
 
     services: Services
@@ -85,7 +85,7 @@
     metrics: Metrics
     limits: BodyLimits
     convention: CallerConvention = attrs.field(factory=DefaultCallerConvention)
-    starting: StartupRetry = attrs.field(factory=_starting_alone)
+    startup_retry: StartupRetry = attrs.field(factory=_startup_without_peers)
     _request_log: RequestLog = attrs.field(init=False)
 
     def __attrs_post_init__(self):
@@ -100,12 +100,18 @@
             answer = self._problem(exc.problem, handler)
         except CallerGone:
             handler.close_connection = True
-            start_response(GONE, [])
+            start_response(CALLER_GONE_STATUS, [])
             return []
         return self._write(handler, answer, start_response)
 
     def may_run_concurrently(self, handler: PipelinedHandler) -> bool:
-        """Tell whether a request may run while others of its connection do."""
+        """Return whether a request may run concurrently with others of its connection.
+
+        Parameters
+        ----------
+        handler : PipelinedHandler
+            Parsed request.
+        """
         if handler.problem is not None or not self.services.revision:
             return True
         route = self.services.route(handler.path, handler.headers.get("host"))
@@ -146,23 +152,31 @@
         req = OutboundRequest(
             handler.command, handler.path, headers, handler.body, head
         )
-        call = _call(handler, route, head, runtime.policy.service)
+        call = _build_call(handler, route, head, runtime.policy.service)
         try:
             with handler.cancellable():
                 forwarded = self.forwarder.forward(req, call, runtime)
         except HeaderInvalid as exc:
             raise BadRequest(Problem.MALFORMED) from exc
         except CallerGone:
-            self._request_log.note_gone(runtime.policy, call, head.request_id)
+            self._request_log.note_caller_gone(runtime.policy, call, head.request_id)
             raise
-        self._request_log.note_end(runtime.policy, call, forwarded, head.request_id)
+        self._request_log.note_answered(
+            runtime.policy, call, forwarded, head.request_id
+        )
         if isinstance(forwarded.decision, Relay):
             return forwarded.answer
         own = self.convention.local_answer_headers(head)
         return attrs.evolve(forwarded.answer, headers=[*forwarded.answer.headers, *own])
 
     def steering_answer(self, path: str) -> Answer:
-        """Say which entry instances to use for a service."""
+        """Return the entry instances to use for a service.
+
+        Parameters
+        ----------
+        path : str
+            Path of the request, whose query names the service and the zone.
+        """
         query = urllib.parse.parse_qs(urllib.parse.urlsplit(path).query)
         service = query.get("service", [""])[0]
         zone = query.get("zone", [None])[0]
@@ -177,18 +191,18 @@
         self._request_log.note_rejected(problem.value[2], self._request_id(handler))
         if problem is Problem.NOT_READY:
             now = time.monotonic()
-            return problem_answer(problem, self.starting.retry_after(now))
+            return problem_answer(problem, self.startup_retry.retry_after(now))
         return problem_answer(problem)
 
     def _request_id(self, handler):
         try:
             return self.convention.read_head(handler.header_pairs()).request_id
         except BadDeadline:
-            # The header that was refused hides the ID, which is read with it.
+            # The malformed header makes the parser fail, so that the ID is unknown.
             return None
 
 
-def _call(handler, route, head: RequestHead, service):
+def _build_call(handler, route, head: RequestHead, service):
     arrived = handler.arrived
     timeout_ms = head.timeout_ms or route.deadline_ms or service.deadline_ms
     if route.max_deadline_ms is not None:
@@ -202,7 +216,7 @@
         deadline=arrived + timeout_ms / MS_PER_S,
         idempotent=route.may_resend(handler.command),
         priority=priority,
-        may_retry=not head.is_repeated,
+        may_retry=not head.is_retry,
         max_attempts=route.max_attempts,
         objective=objective,
         rank=route.rank,
@@ -212,8 +226,9 @@
 
 
 def _identity(handler, route: Route, head: RequestHead):
-    # The host of the route: where routes take any, callers name the daemon itself, and
-    # the same request would be another one at each.
+    # Uses the host of the route. For a route that matches any host, callers put the
+    # daemon's address into Host, and the same request would have a different identity
+    # at each daemon.
     caller = head.credentials or handler.client_address[0]
     return RequestIdentity(
         handler.command, route.host or "", handler.path, handler.body, caller
--- a/packages/entry/src/cairnferry/entry/callers/_forward.py
+++ b/packages/entry/src/cairnferry/entry/callers/_forward.py
@@ -1,4 +1,4 @@
-"""One request from a caller, through the policy, to targets and back."""
+"""Forward a caller's request to targets as the policy decides."""
 
 import time
 from http.client import responses
@@ -8,7 +8,7 @@
 from gevent.queue import Empty, SimpleQueue
 
 from cairnferry.entry.callers._guard import CrashGuard
-from cairnferry.entry.http import Answer, answer_headers, not_run, unknown
+from cairnferry.entry.http import Answer, answer_headers, not_run_answer, unknown_answer
 from cairnferry.entry.targets import (
     AdvisoryRecorder,
     CrashDetector,
@@ -38,14 +38,14 @@
 
 @attrs.frozen
 class Forwarded:
-    """What became of a request.
+    """Result of a forwarded request.
 
     Attributes
     ----------
     answer : Answer
-        For the caller.
+        Answer for the caller.
     decision : Relay, Refuse or GiveUp
-        How it ended.
+        Final decision of the policy.
     """
 
     answer: Answer
@@ -54,22 +54,22 @@
 
 @attrs.define
 class Forwarder:
-    """Does what the policy decides.
+    """Carries out the decisions of the policy.
 
     Parameters
     ----------
     upstreams : Upstreams
         Connections to targets.
     checks : StatusChecks, optional
-        Asks targets for their load, where the policy wants that.
-    endings : CrashDetector, optional
-        Finds out whether a target ended under a request.
+        Checks the status of targets if the policy requests it.
+    crash_detector : CrashDetector, optional
+        Detects whether a target crashed while it ran a request.
     guard : CrashGuard, optional
-        Keeps requests that end targets from further ones.
+        Blocks requests that crash targets.
     limiter : Limiter, optional
-        Takes in limits that targets name.
-    listener : AdvisoryRecorder, optional
-        Takes in what targets say of themselves.
+        Records the limits that targets advertise.
+    advisory_recorder : AdvisoryRecorder, optional
+        Records the advisories of targets.
     """
 
     upstreams: Upstreams
@@ -82,20 +82,31 @@
     def forward(
         self, req: OutboundRequest, call: Call, runtime: ServiceRuntime
     ) -> Forwarded:
-        """Bring a request to its end.
-
-        Any exception, such as the caller's departure, gives up what is left of
-        the request: attempts in flight are cut and their connections closed.
+        """Forward a request until a final decision is made.
+
+        Any exception, such as the disconnection of the caller, abandons the request:
+        attempts in flight are cancelled and their connections are closed.
+
+        Parameters
+        ----------
+        req : OutboundRequest
+            Request to send.
+        call : Call
+            State of the request for the policy.
+        runtime : ServiceRuntime
+            Runtime of the service.
         """
         if self.guard is None:
             return self._forward(req, call, runtime)
-        self.crash_detector.wait_for_look(call.identity)
+        self.crash_detector.wait_for_presence_check(call.identity)
         refused = self.guard.admit(call)
         if refused is not None:
             decision = runtime.policy.refuse_with_delay(
                 refused.cause, refused.retry_after
             )
-            return Forwarded(not_run(refused.cause, refused.retry_after), decision)
+            return Forwarded(
+                not_run_answer(refused.cause, refused.retry_after), decision
+            )
         try:
             return self._forward(req, call, runtime)
         finally:
@@ -107,12 +118,12 @@
         try:
             while True:
                 match decision:
-                    case Send(attempt) if self._is_stopped(call):
-                        decision = self._stop(attempt, runtime)
+                    case Send(attempt) if self._is_blocked(call):
+                        decision = self._refuse_blocked(attempt, runtime)
                     case Send(attempt):
                         decision, reply = self._attempt(req, attempt, runtime)
                     case CheckStatus(targets):
-                        self.checks.ask(targets, runtime)
+                        self.checks.check_all(targets, runtime)
                         decision = runtime.resume(call)
                     case Pause(seconds):
                         gevent.sleep(seconds)
@@ -120,24 +131,24 @@
                     case Wait():
                         decision = runtime.wait(call)
                     case Relay():
-                        return Forwarded(_relayed(reply), decision)
+                        return Forwarded(_relayed_answer(reply), decision)
                     case Refuse(cause, retry_after):
-                        return Forwarded(not_run(cause, retry_after), decision)
+                        return Forwarded(not_run_answer(cause, retry_after), decision)
                     case GiveUp(cause, retry_after):
-                        return Forwarded(unknown(cause, retry_after), decision)
+                        return Forwarded(unknown_answer(cause, retry_after), decision)
         except BaseException:
             runtime.abandon(call)
             raise
 
-    def _is_stopped(self, call):
-        """Tell whether a request was blocked since it arrived.
+    def _is_blocked(self, call):
+        """Return whether a request was blocked after its arrival.
 
-        It may have waited for room, or for what targets say of themselves.
+        This can happen while the request waits for capacity or for status checks.
         """
-        return self.guard is not None and self.guard.stops(call)
+        return self.guard is not None and self.guard.is_blocked(call)
 
-    def _stop(self, attempt, runtime):
-        """Give up a request that is not to be sent any more."""
+    def _refuse_blocked(self, attempt, runtime):
+        """Return the decision on a request that was blocked before this attempt."""
         call = attempt.call
         runtime.cancelled(attempt)
         call.attempts.remove(attempt)
@@ -152,7 +163,7 @@
         delay = runtime.policy.hedge_delay() if call.idempotent else None
         if delay is None or not call.may_retry:
             return self._single(req, attempt, runtime)
-        return _Race(self, req, runtime).run(attempt, delay)
+        return _HedgedAttempts(self, req, runtime).run(attempt, delay)
 
     def _single(self, req, attempt, runtime):
         try:
@@ -169,7 +180,19 @@
         outcome: Outcome,
         runtime: ServiceRuntime,
     ) -> tuple[Decision, Reply | None]:
-        """Tell the policy of an attempt's end; give its decision and the reply."""
+        """Report an attempt's end to the policy; return the decision and the reply.
+
+        Parameters
+        ----------
+        req : OutboundRequest
+            Request that was sent.
+        attempt : Attempt
+            Attempt that finished.
+        outcome : Outcome
+            Outcome of its exchange.
+        runtime : ServiceRuntime
+            Runtime of the service.
+        """
         result = self.upstreams.classify(outcome, attempt)
         reply = outcome if isinstance(outcome, Reply) else None
         if self.limiter is not None:
@@ -182,20 +205,20 @@
         if self.guard is None:
             return runtime.finished(attempt, result), reply
         try:
-            self._learn(req, attempt, result, runtime)
+            self._report_to_guard(req, attempt, result, runtime)
         except BaseException:
-            # The caller left meanwhile. Not counted out, the attempt would hold its
-            # place at the target for good.
+            # The caller disconnected meanwhile. Without this call, the attempt would
+            # occupy its slot at the target permanently.
             runtime.cancelled(attempt)
             raise
         decision = runtime.finished(attempt, result)
-        return self.guard.settle(attempt.call, decision), reply
+        return self.guard.final_decision(attempt.call, decision), reply
 
-    def _learn(self, req, attempt, result, runtime):
-        """Bring what an attempt shows of its request to the guard, before it goes on.
+    def _report_to_guard(self, req, attempt, result, runtime):
+        """Report the result of an attempt to the guard before the policy decides.
 
-        A request that has ended targets would be sent on to the next one within the
-        millisecond that it takes to look at the last.
+        Otherwise a request that crashes targets would be sent to the next target within
+        the millisecond that the presence check of the last one takes.
         """
         call = attempt.call
         match result:
@@ -203,28 +226,28 @@
                 self.guard.note_answer(call)
             case Lost(broken=True):
                 service = runtime.policy.service.name
-                looked = self.crash_detector.note_break(
+                checked = self.crash_detector.note_broken_connection(
                     attempt, call.identity, req.head.request_id, service
                 )
-                was_held = call.is_suspect or len(call.attempts) > 1
-                if was_held and runtime.policy.allows_attempt(call):
-                    if looked is not None:
-                        looked.wait()
+                is_suspicious = call.is_suspect or len(call.attempts) > 1
+                if is_suspicious and runtime.policy.allows_attempt(call):
+                    if checked is not None:
+                        checked.wait()
                     self.guard.recheck(call)
 
 
 @attrs.define
-class _Race:
-    """Attempts of one idempotent request, the later ones sent early.
+class _HedgedAttempts:
+    """Concurrent attempts of one idempotent request, which is hedged.
 
     Parameters
     ----------
     forwarder : Forwarder
-        Concludes the attempts.
+        Sends the attempts and processes their outcomes.
     req : OutboundRequest
-        The request.
+        Request to send.
     runtime : ServiceRuntime
-        The service.
+        Runtime of the service.
     """
 
     forwarder: Forwarder
@@ -234,7 +257,7 @@
     _running: dict[Attempt, gevent.Greenlet] = attrs.field(factory=dict)
 
     def run(self, first, delay):
-        """Run until something is decided; give the decision and the reply."""
+        """Run attempts until there is a decision; return it and the reply."""
         try:
             self._start(first)
             timeout = delay
@@ -254,7 +277,7 @@
                 if not isinstance(decision, AwaitOthers):
                     return decision, reply
         finally:
-            self._cut_losers()
+            self._cancel_running()
 
     def _start(self, attempt):
         self._running[attempt] = gevent.spawn(self._send, attempt)
@@ -267,28 +290,28 @@
         self._results.put((attempt, outcome))
 
     def _hedge(self, call, delay):
-        """Send the request once more if it is time; give the time to the next look."""
+        """Send a hedge if it is due; return the seconds until the next check."""
         decision = self.runtime.policy.hedge(call, time.monotonic())
         match decision:
             case Send(attempt):
                 self._start(attempt)
                 return None
             case CheckStatus(targets):
-                gevent.spawn(self.forwarder.checks.ask, targets, self.runtime)
+                gevent.spawn(self.forwarder.checks.check_all, targets, self.runtime)
         return delay if self.runtime.policy.repeats_hedge_check else None
 
-    def _cut_losers(self):
-        """Cut what still runs.
+    def _cancel_running(self):
+        """Cancel the attempts that still run and close their connections.
 
-        An answer that comes after its request was given up must find its
-        connection closed, or it would be taken for the next request's.
+        Otherwise a late answer to this request could be mistaken for the answer to the
+        next request on the connection.
         """
         for attempt, greenlet in self._running.items():
             greenlet.kill(block=False)
             self.runtime.cancelled(attempt)
 
 
-def _relayed(reply):
+def _relayed_answer(reply):
     phrase = responses.get(reply.status, "Status")
     headers = answer_headers(reply.headers)
     status = f"{reply.status} {phrase}"
@@ -296,10 +319,10 @@
 
 
 def _length_of(reply):
-    """Give the length to tell: for an answer without body, the target's own."""
+    """Return Content-Length: for an answer without a body, as the target sent it."""
     if reply.body:
         return len(reply.body)
     if reply.status in BODILESS_STATUSES:
         return None
-    told = reply.header("content-length")
-    return int(told) if told else None
+    length = reply.header("content-length")
+    return int(length) if length else None
--- a/packages/entry/src/cairnferry/entry/callers/_request_log.py
+++ b/packages/entry/src/cairnferry/entry/callers/_request_log.py
@@ -1,4 +1,4 @@
-"""Counts requests as they end, and writes lines on some of them."""
+"""Count finished requests, and log some of them."""
 
 import enum
 import logging
@@ -11,8 +11,8 @@
 from cairnferry.policy import Call, GiveUp, Relay, ServicePolicy
 
 MS_PER_S = 1000
-# Lines a second, and at once, on requests that were answered at their first target:
-# enough to see what is usual, and a small part of those on requests that were not.
+# Log lines per second, and in one burst, for requests that their first target answered.
+# They show the usual case, and are few compared to the lines on other requests.
 ANSWERED_RATE = 1.0
 ANSWERED_BURST = 4.0
 CALLER_GONE = "caller-gone"
@@ -20,8 +20,8 @@
 log = logging.getLogger(__name__)
 
 
-class Line(enum.StrEnum):
-    """Sorts of lines, each with a limit of its own."""
+class LogLine(enum.StrEnum):
+    """Kinds of log lines, each with its own rate limit."""
 
     ANSWERED = "request answered"
     REPEATED = "request sent more than once"
@@ -31,42 +31,42 @@
 
 
 def _limits():
-    limits = {line: RateLimit() for line in Line}
-    limits[Line.ANSWERED] = RateLimit(ANSWERED_RATE, ANSWERED_BURST)
+    limits = {line: RateLimit() for line in LogLine}
+    limits[LogLine.ANSWERED] = RateLimit(ANSWERED_RATE, ANSWERED_BURST)
     return limits
 
 
 @attrs.define
 class RequestLog:
-    """What is told of requests that ended.
+    """Metrics and log lines of finished requests.
 
     Parameters
     ----------
     metrics : Metrics
-        Counts all of them.
+        Counts all requests.
     services : Services
-        Tells the revision in force.
+        Provides the revision in effect.
     """
 
     metrics: Metrics
     services: Services
-    _limits: dict[Line, RateLimit] = attrs.field(factory=_limits)
+    _limits: dict[LogLine, RateLimit] = attrs.field(factory=_limits)
 
-    def note_end(
+    def note_answered(
         self, policy: ServicePolicy, call: Call, forwarded, request_id: str | None
     ) -> None:
-        """Take in a request that was answered.
+        """Record a request that was answered.
 
         Parameters
         ----------
         policy : ServicePolicy
-            Of its service.
+            Policy of the service.
         call : Call
-            The request.
+            Request that was answered.
         forwarded : Forwarded
-            Its answer, and how it was decided.
+            Answer, and the final decision.
         request_id : str or None
-            The ID that its caller gave it.
+            ID that the caller assigned to the request.
         """
         service = policy.service.name
         elapsed = time.monotonic() - call.arrived
@@ -76,14 +76,14 @@
         match forwarded.decision:
             case Relay():
                 outcome, cause = "relayed", "-"
-                line = Line.REPEATED if len(call.attempts) > 1 else Line.ANSWERED
+                line = LogLine.REPEATED if len(call.attempts) > 1 else LogLine.ANSWERED
                 status = forwarded.answer.status.partition(" ")[0]
                 more = {"status": int(status)}
             case decision:
                 outcome = "unknown" if isinstance(decision, GiveUp) else "not-run"
                 cause = str(decision.cause)
                 self.metrics.note_cause(cause)
-                line = Line.GIVEN_UP
+                line = LogLine.GIVEN_UP
                 retry_after = round(decision.retry_after, 3)
                 more = {
                     "outcome": outcome,
@@ -92,62 +92,80 @@
                 }
         self.metrics.note_answer(service, outcome, elapsed)
         self.metrics.note_request(service, call.idempotent, outcome, cause)
-        self._write_on(line, policy, call, request_id, more)
+        self._write_with_facts(line, policy, call, request_id, more)
 
-    def note_gone(
+    def note_caller_gone(
         self, policy: ServicePolicy, call: Call, request_id: str | None
     ) -> None:
-        """Take in a request whose caller left before its answer."""
+        """Record a request whose caller disconnected before the answer.
+
+        Parameters
+        ----------
+        policy : ServicePolicy
+            Policy of the service.
+        call : Call
+            Request that was abandoned.
+        request_id : str or None
+            ID that the caller assigned to the request.
+        """
         self.metrics.note_cause(CALLER_GONE)
         service = policy.service.name
         self.metrics.note_request(service, call.idempotent, "gone", CALLER_GONE)
-        self._write_on(Line.GONE, policy, call, request_id, {})
+        self._write_with_facts(LogLine.GONE, policy, call, request_id, {})
 
     def note_rejected(self, cause: str, request_id: str | None) -> None:
-        """Take in a request that was answered before a service was chosen."""
+        """Record a request that was rejected before a service was chosen.
+
+        Parameters
+        ----------
+        cause : str
+            Cause of the rejection.
+        request_id : str or None
+            ID that the caller assigned to the request.
+        """
         self.metrics.note_cause(cause)
         facts = {"revision": self.services.revision, "cause": cause}
-        self._write(Line.REJECTED, request_id, lambda: facts)
+        self._write(LogLine.REJECTED, request_id, lambda: facts)
 
-    def _write_on(self, line, policy, call, request_id, more):
+    def _write_with_facts(self, line, policy, call, request_id, more):
         self._write(line, request_id, lambda: self._facts(policy, call) | more)
 
     def _write(self, line, request_id, facts):
-        """Write a line, up to a rate; its facts are made only then."""
+        """Write a log line at a limited rate; the facts are computed only if needed."""
         limit = self._limits[line]
         if not limit.allows():
             return
-        level = logging.WARNING if line is Line.GIVEN_UP else logging.INFO
-        left_out = {"left_out": limit.take_left_out()}
+        level = logging.WARNING if line is LogLine.GIVEN_UP else logging.INFO
+        left_out = {"left_out": limit.take_suppressed()}
         extra = {"request_id": request_id, **facts(), **left_out}
         log.log(level, str(line), extra=extra)
 
     def _facts(self, policy, call):
-        """Give what decided about a request."""
+        """Return the facts that led to the decision on a request."""
         after = time.monotonic() - call.arrived
         return {
             "service": policy.service.name,
             "route": call.route,
             "revision": self.services.revision,
-            "attempts": [_told(attempt, call) for attempt in call.attempts],
+            "attempts": [_describe_attempt(attempt, call) for attempt in call.attempts],
             "asked": sorted(call.search.checked),
             "after_ms": round(after * MS_PER_S, 1),
             "time_given_ms": round((call.deadline - call.arrived) * MS_PER_S),
             "repeats_left": round(policy.retries_left, 1),
-            **_identified(call),
+            **_identity_facts(call),
         }
 
 
-def _identified(call):
-    """Tell what a request is that was sent on, so that it is known again."""
+def _identity_facts(call):
+    """Return digest and caller of an unusual request, so that it is recognizable."""
     identity = call.identity
-    is_told = call.is_suspect or call.possibly_run or len(call.attempts) > 1
-    if identity is None or not is_told:
+    is_logged = call.is_suspect or call.possibly_run or len(call.attempts) > 1
+    if identity is None or not is_logged:
         return {}
     return {"content": identity.content, "caller": identity.caller_tag}
 
 
-def _told(attempt, call):
-    """Tell an attempt: kind, target, and when it was sent."""
+def _describe_attempt(attempt, call):
+    """Return an attempt's kind, target and time of sending as text."""
     sent = (attempt.started - call.arrived) * MS_PER_S
     return f"{attempt.kind} {attempt.target_name} at {sent:.1f} ms"
--- a/packages/entry/src/cairnferry/entry/callers/_startup_retry.py
+++ b/packages/entry/src/cairnferry/entry/callers/_startup_retry.py
@@ -1,46 +1,48 @@
-"""When a caller may come back to a daemon that knows no rules yet."""
+"""Retry-After for callers of a daemon that has no rules yet."""
 
 from collections.abc import Callable
 
 import attrs
 
-# Seconds after which others are asked that are ready already.
-OTHERS_READY_S = 0.05
-# Seconds of a start in which others are taken for ready: nobody has been heard yet.
-UNHEARD_S = 0.1
-# Least and most seconds for which a caller is sent away while all are starting.
+# Retry delay in seconds if other daemons are ready.
+OTHERS_READY_RETRY_S = 0.05
+# Seconds after the start during which other daemons are assumed to be ready, because no
+# heartbeat has been received yet.
+FIRST_CONTACT_S = 0.1
+# Minimum and maximum retry delay in seconds while all daemons are starting.
 MIN_WAIT_S = 0.2
 MAX_WAIT_S = 0.5
 
 
 @attrs.define
 class StartupRetry:
-    """Decides on Retry-After while this daemon knows no rules.
+    """Determines Retry-After while this daemon has no rules.
 
-    After a loss of power all daemons start at once. A caller has few tries: sent to the
-    next one at once, it would use them up before any of them knows the rules. How long
-    the start still takes nobody knows; what it has taken so far is the best guess.
+    After a power failure all daemons start at the same time. A caller makes few tries.
+    If it were sent to the next daemon immediately, it would use them up before any
+    daemon has the rules. The remaining time of the start is unknown, and the time that
+    has elapsed is the best estimate of it.
 
     Parameters
     ----------
-    began : float
+    started_at : float
         Monotonic time in seconds at which this daemon began to listen.
     others_ready : callable
-        Tells whether another daemon is known to have rules.
+        Returns whether another daemon is known to have rules.
     """
 
-    began: float
+    started_at: float
     others_ready: Callable[[], bool]
 
     def retry_after(self, now: float) -> float:
-        """Give the seconds after which a caller may come back.
+        """Return the seconds after which a caller may retry.
 
         Parameters
         ----------
         now : float
             Monotonic time in seconds.
         """
-        elapsed = now - self.began
-        if elapsed < UNHEARD_S or self.others_ready():
-            return OTHERS_READY_S
+        elapsed = now - self.started_at
+        if elapsed < FIRST_CONTACT_S or self.others_ready():
+            return OTHERS_READY_RETRY_S
         return min(MAX_WAIT_S, max(MIN_WAIT_S, elapsed))
--- a/packages/entry/src/cairnferry/entry/changelog/__init__.py
+++ b/packages/entry/src/cairnferry/entry/changelog/__init__.py
@@ -1,9 +1,9 @@
-"""Records in force where they come from the log of changes."""
+"""Records in effect at a daemon that reads them from the change log."""
 
 from cairnferry.entry.changelog._change_log_sync import ChangeLogSync
 from cairnferry.entry.changelog._configuration import Configuration
 
 __all__ = [
-    "Configuration",
     "ChangeLogSync",
+    "Configuration",
 ]
--- a/packages/entry/src/cairnferry/entry/changelog/_change_log_sync.py
+++ b/packages/entry/src/cairnferry/entry/changelog/_change_log_sync.py
@@ -1,4 +1,4 @@
-"""How this daemon gets new revisions: from the table, or from a peer."""
+"""Fetch new revisions of the change log, from the table or from a peer."""
 
 import logging
 import random
@@ -20,9 +20,11 @@
 from cairnferry.peers import PeerCallFailed, PeerLink
 
 SNAPSHOT_NAME = "snapshots/latest"
+# Number of revisions after which a new snapshot is written.
 SNAPSHOT_EVERY = 100
+# Number of daemons of each availability zone that poll the head of the log.
 POLLERS_PER_ZONE = 2
-# A daemon that has heard of no confirmed head for so long looks by itself.
+# Seconds after the last confirmed head after which any daemon polls the head itself.
 MAX_HEAD_AGE_S = 5.0
 
 log = logging.getLogger(__name__)
@@ -30,20 +32,27 @@
 
 @attrs.define
 class ChangeLogSync:
-    """Brings the local configuration up to date.
+    """Updates the local configuration from the change log.
 
     Parameters
     ----------
     changes : ChangeLog
-        The log in the platform's table.
+        Change log in the platform's table.
     objects : ObjectStore
-        Holds snapshots.
+        Store of snapshots.
     configuration : Configuration
-        What is in force here.
+        Records in effect at this daemon.
     cluster : Cluster
-        Who is there.
+        Membership, and the age of the last confirmed head.
     rng : random.Random
-        For jitter.
+        Source of jitter.
+
+    Attributes
+    ----------
+    snapshot_revision : int
+        Revision of the last snapshot that was loaded or saved.
+    tables : dict
+        Empty: the log contains everything, and daemons share no further tables.
     """
 
     changes: ChangeLog
@@ -52,28 +61,27 @@
     cluster: Cluster
     rng: random.Random
     snapshot_revision: int = 0
-    # The log tells all; daemons share no tables beside it.
     tables: dict = attrs.field(factory=dict)
 
     def is_poller(self) -> bool:
-        """Tell whether this daemon looks at the head for its zone.
+        """Return whether this daemon polls the head for its zone.
 
-        Duplicates are harmless, so that a rank is enough and no lease is held.
+        Duplicate polls are harmless, so a rank is sufficient and no lease is needed.
         """
         membership = self.cluster.membership
         return membership.me.name in membership.own_zone_names()[:POLLERS_PER_ZONE]
 
     def should_poll(self) -> bool:
-        """Tell whether to look at the head now."""
+        """Return whether to poll the head now."""
         age = self.cluster.confirmation.age(time.monotonic())
         if self.is_poller():
             return True
-        # The jitter keeps daemons that lost the same peer from looking at once.
+        # The jitter prevents daemons that lost the same peer from polling together.
         return age > MAX_HEAD_AGE_S * (1 + self.rng.random())
 
     def refresh(self) -> Result[int, TableUnavailable]:
-        """Read the head and all rows up to it; give the revision held."""
-        asked_at = time.monotonic()
+        """Read the head and all rows up to it; return the revision in effect."""
+        requested_at = time.monotonic()
         head = self.changes.head()
         if head.is_error():
             return head
@@ -81,7 +89,7 @@
         if fetched.is_error():
             return fetched
         if self.configuration.revision >= head.ok:
-            self.cluster.confirmation.confirm(asked_at)
+            self.cluster.confirmation.confirm(requested_at)
         return Ok(self.configuration.revision)
 
     def _fetch_to(self, head):
@@ -97,28 +105,28 @@
         return Ok(None)
 
     def _apply_all(self, rows):
-        """Apply rows in order; tell whether the last one is in force."""
+        """Apply rows in order; return whether the last one is in effect."""
         for row in rows:
             if self.configuration.apply(row).is_error():
                 return False
         return self.configuration.revision >= rows[-1].revision
 
     def load_snapshot(self) -> None:
-        """Take over the object store's snapshot, if it helps."""
+        """Load the snapshot of the object store, if it is newer."""
         found = self.objects.get(SNAPSHOT_NAME)
         if found.is_error() or found.ok is None:
             return
         installed = self.configuration.install_snapshot(found.ok)
         if installed.is_error():
-            log.error("snapshot", extra={"why": str(installed.error)})
+            log.error("cannot decode the snapshot", extra={"why": str(installed.error)})
             return
         self.snapshot_revision = self.configuration.revision
 
     def save_snapshot(self) -> None:
-        """Write a snapshot, if this daemon is a poller and the last one is old.
+        """Write a snapshot, if this daemon is a poller and the last snapshot is old.
 
-        An older one written over a newer one only lengthens a later replay: the
-        log itself is whole.
+        If an older snapshot replaces a newer one, a later replay only takes longer,
+        because the log itself is complete.
         """
         revision = self.configuration.revision
         if revision - self.snapshot_revision < SNAPSHOT_EVERY:
@@ -131,28 +139,35 @@
 
     @property
     def revision(self) -> int:
-        """Revision in force here."""
+        """Revision in effect at this daemon."""
         return self.configuration.revision
 
     @property
     def behind(self):
-        """What could not be applied here, if anything."""
+        """Revision that could not be applied; None if there is none."""
         return self.configuration.behind
 
     def rows_from(self, first: int) -> list[LogRow]:
-        """Give the kept rows from a revision on, for a peer."""
+        """Return the kept rows from a revision on, for a peer."""
         return self.configuration.rows_from(first)
 
     def snapshot(self) -> bytes:
-        """Give the records in force, for a peer."""
+        """Return a snapshot of the records in effect, for a peer."""
         return self.configuration.records.to_snapshot()
 
     def document_since(self, revision: int) -> DocumentNews:
-        """Give nothing: records are told by the rows of the log."""
+        """Return no document, because records are distributed as rows of the log."""
         return NO_DOCUMENT_NEWS
 
     def pull_from(self, link: PeerLink, offered: int) -> None:
-        """Fetch from a peer what it has and this daemon has not.
+        """Fetch the revisions that a peer offers and this daemon lacks.
+
+        Parameters
+        ----------
+        link : PeerLink
+            Connection to the peer.
+        offered : int
+            Revision that the peer has.
 
         Raises
         ------
@@ -163,16 +178,16 @@
             before = self.configuration.revision
             rows = link.pull(before + 1)
             if not rows:
-                self._take_snapshot_of(link)
+                self._install_snapshot_from(link)
             for row in rows:
                 applied = self.configuration.apply(row)
                 if applied.is_error() and isinstance(applied.error, Gap):
-                    self._take_snapshot_of(link)
+                    self._install_snapshot_from(link)
                     break
             if self.configuration.revision == before:
                 return
 
-    def _take_snapshot_of(self, link):
+    def _install_snapshot_from(self, link):
         installed = self.configuration.install_snapshot(link.snapshot())
         if installed.is_error():
             raise PeerCallFailed(link.address, str(installed.error))
--- a/packages/entry/src/cairnferry/entry/changelog/_configuration.py
+++ b/packages/entry/src/cairnferry/entry/changelog/_configuration.py
@@ -1,4 +1,4 @@
-"""Records in force at this daemon: revisions go forwards only."""
+"""Records in effect at this daemon, whose revision never decreases."""
 
 import logging
 from collections import deque
@@ -10,14 +10,23 @@
 from cairnferry.coordination import LogRow
 from cairnferry.records import Change, RecordError, RecordSet
 
-KEPT_ROWS = 256
+# Number of the latest rows that are kept for peers.
+MAX_KEPT_ROWS = 256
 
 log = logging.getLogger(__name__)
 
 
 @attrs.frozen
 class Gap:
-    """Rows between the revision held and the one offered are missing."""
+    """Rows are missing between the revision in effect and the offered one.
+
+    Attributes
+    ----------
+    held : int
+        Revision in effect.
+    offered : int
+        Revision of the offered row.
+    """
 
     held: int
     offered: int
@@ -25,14 +34,14 @@
 
 @attrs.frozen
 class CannotApply:
-    """A revision was accepted that this release cannot apply.
+    """The log contains a revision that this release cannot apply.
 
     Attributes
     ----------
     revision : int
-        The revision.
+        Number of the revision.
     fault : RecordError
-        What it stumbled over.
+        Reason why it cannot be applied.
     """
 
     revision: int
@@ -44,7 +53,7 @@
 
 @attrs.define
 class Configuration:
-    """The record set in force and the last rows that led to it.
+    """The record set in effect and the latest rows that led to it.
 
     Parameters
     ----------
@@ -54,29 +63,29 @@
     Attributes
     ----------
     records : RecordSet
-        In force.
+        Records in effect.
     behind : CannotApply or None
-        Set once a revision could not be applied; what is in force stays.
+        Set if a revision could not be applied; the records in effect stay.
     """
 
     on_change: Callable[[RecordSet], None]
     records: RecordSet = attrs.field(factory=RecordSet)
     behind: CannotApply | None = None
-    _rows: deque = attrs.field(factory=lambda: deque(maxlen=KEPT_ROWS))
+    _rows: deque = attrs.field(factory=lambda: deque(maxlen=MAX_KEPT_ROWS))
 
     @property
     def revision(self) -> int:
-        """Revision in force."""
+        """Revision in effect."""
         return self.records.revision
 
     def apply(self, row: LogRow) -> Result[bool, ApplyError]:
-        """Put the next revision in force.
+        """Put the next revision into effect.
 
         Parameters
         ----------
         row : LogRow
-            Any row. One that is not newer is passed over: a late answer, or a
-            peer that lags, must not bring back an older configuration.
+            Any row. A row that is not newer is skipped, because a late answer or a
+            lagging peer must not restore an older configuration.
 
         Returns
         -------
@@ -87,14 +96,14 @@
             return Ok(False)
         if row.revision > self.revision + 1:
             return Error(Gap(self.revision, row.revision))
-        applied = self._try(row)
+        applied = self._parse_and_apply(row)
         if applied.is_error():
-            return self._fall_behind(row.revision, applied.error)
+            return self._reject_revision(row.revision, applied.error)
         self._rows.append(row)
         self._install(applied.ok)
         return Ok(True)
 
-    def _try(self, row):
+    def _parse_and_apply(self, row):
         changes = []
         for document in row.changes:
             parsed = Change.from_json(document)
@@ -103,9 +112,10 @@
             changes.append(parsed.ok)
         return self.records.apply(row.revision, tuple(changes))
 
-    def _fall_behind(self, revision, fault):
-        # A newer release accepted what this one does not know. Skipping it, or
-        # going back, would put something in force that nobody submitted.
+    def _reject_revision(self, revision, fault):
+        # A newer release accepted a revision that this release does not support.
+        # Skipping it or rolling back would put records into effect that no operator
+        # submitted.
         if self.behind is None:
             log.error(
                 "cannot apply a revision",
@@ -115,7 +125,18 @@
         return Error(self.behind)
 
     def install_snapshot(self, data: bytes) -> Result[bool, RecordError]:
-        """Put a snapshot in force, if it is newer than what is held."""
+        """Put a snapshot into effect, if it is newer than the records in effect.
+
+        Parameters
+        ----------
+        data : bytes
+            Encoded record set.
+
+        Returns
+        -------
+        Result
+            Whether the snapshot was put into effect.
+        """
         decoded = RecordSet.from_snapshot(data)
         if decoded.is_error():
             return decoded
@@ -132,7 +153,7 @@
         log.info("in force", extra={"revision": records.revision})
 
     def rows_from(self, first: int) -> list[LogRow]:
-        """Give the kept rows from a revision on; none if it is no longer kept."""
+        """Return the kept rows from a revision on; empty if it is no longer kept."""
         if not self._rows or self._rows[0].revision > first:
             return []
         return [row for row in self._rows if row.revision >= first]
--- a/packages/entry/src/cairnferry/entry/targets/__init__.py
+++ b/packages/entry/src/cairnferry/entry/targets/__init__.py
@@ -1,4 +1,4 @@
-"""The targets of a service: connections, status checks, and the policy at work."""
+"""Targets of a service: connections, status checks, limits and policy runtime."""
 
 from cairnferry.entry.targets._advisory import read_advisory
 from cairnferry.entry.targets._advisory_recorder import AdvisoryRecorder
@@ -12,7 +12,7 @@
 from cairnferry.entry.targets._crash_detector import CrashDetector, InterruptedRequest
 from cairnferry.entry.targets._exchange_result import lost_result, not_run_result
 from cairnferry.entry.targets._limit_header import LimitFault, read_limit
-from cairnferry.entry.targets._limit_notes import limit_board
+from cairnferry.entry.targets._limit_notes import limit_note_registry
 from cairnferry.entry.targets._limiter import Limiter
 from cairnferry.entry.targets._permits import LocalPermitIssuer, PermitRequester
 from cairnferry.entry.targets._probing import HealthProber
@@ -22,27 +22,27 @@
 from cairnferry.entry.targets._upstreams import OutboundRequest, Upstreams
 
 __all__ = [
+    "AdvisoryRecorder",
     "CallerConvention",
     "CheckResult",
     "CrashDetector",
+    "DefaultCallerConvention",
+    "DefaultTargetConvention",
+    "HealthProber",
+    "InterruptedRequest",
     "LimitFault",
     "Limiter",
-    "InterruptedRequest",
+    "LocalPermitIssuer",
     "OutboundRequest",
-    "DefaultCallerConvention",
-    "DefaultTargetConvention",
     "PermitRequester",
-    "LocalPermitIssuer",
-    "HealthProber",
     "ServiceRuntime",
     "Services",
     "StatusChecks",
     "TargetConvention",
     "Upstreams",
-    "AdvisoryRecorder",
-    "limit_board",
+    "limit_note_registry",
     "lost_result",
     "not_run_result",
-    "read_limit",
     "read_advisory",
+    "read_limit",
 ]
--- a/packages/entry/src/cairnferry/entry/targets/_advisory_recorder.py
+++ b/packages/entry/src/cairnferry/entry/targets/_advisory_recorder.py
@@ -1,4 +1,4 @@
-"""Taking in what targets say of themselves in their answers."""
+"""Record the advisories that targets send with their answers."""
 
 import logging
 import time
@@ -18,14 +18,14 @@
 
 @attrs.define
 class AdvisoryRecorder:
-    """Brings what targets say of themselves to the decisions.
+    """Records targets' advisories for the policies.
 
     Parameters
     ----------
     metrics : Metrics
-        Counts what they say.
-    holds : AdvisoryRegistry
-        What they have asked of this daemon.
+        Counts advisories.
+    advisories : AdvisoryRegistry
+        Advisories in effect.
     """
 
     metrics: Metrics
@@ -40,46 +40,69 @@
         convention: TargetConvention,
         request_id: str | None,
     ) -> None:
-        """Take in what the answer to a request says.
+        """Record the advisory in the answer to a request.
 
-        To be called before the policy is told that the attempt ended: it sends the
-        next one to a target that has not asked to be left alone.
+        Must be called before the policy processes the end of the attempt, so that the
+        policy does not send the next attempt to a target that requested a back-off.
 
         Parameters
         ----------
         attempt : Attempt
-            The attempt that ended.
+            Attempt that finished.
         outcome : Outcome
-            What came of it.
+            Outcome of its exchange.
         runtime : ServiceRuntime
-            The service.
+            Runtime of the service.
         convention : TargetConvention
-            How targets speak.
+            Header conventions of targets.
         request_id : str or None
-            The ID that its caller gave the request.
+            ID that the caller assigned to the request.
         """
         target = attempt.target.record
-        self.note(target, convention.advisory_of(outcome, target), runtime, request_id)
+        self.record(
+            target, convention.advisory_of(outcome, target), runtime, request_id
+        )
 
-    def note(
+    def record(
         self,
         target: Target,
-        words: TargetAdvisory,
+        advisory: TargetAdvisory,
         runtime: ServiceRuntime,
         request_id: str | None = None,
     ) -> None:
-        """Take in what an answer says, to a request or to a status check."""
-        for fault in words.faults:
-            self.metrics.target_words["faulty"] += 1
+        """Record an advisory from the answer to a request or to a status check.
+
+        Parameters
+        ----------
+        target : Target
+            Record of the target.
+        advisory : TargetAdvisory
+            Advisory of the target.
+        runtime : ServiceRuntime
+            Runtime of the service.
+        request_id : str, optional
+            ID of the request; None for a status check.
+        """
+        for fault in advisory.faults:
+            self.metrics.target_advisories["faulty"] += 1
             self._log_fault(target, fault)
-        for word, seconds in (("rest", words.back_off_s), ("leaving", words.leaving_s)):
-            self.metrics.target_words[word] += bool(seconds)
-        if words.back_off_s or words.leaving_s:
+        for kind, seconds in (
+            ("rest", advisory.back_off_s),
+            ("leaving", advisory.leaving_s),
+        ):
+            self.metrics.target_advisories[kind] += bool(seconds)
+        if advisory.back_off_s or advisory.leaving_s:
             now = time.monotonic()
-            runtime.policy.note_advisory(target.identity, words, now, request_id)
+            runtime.policy.note_advisory(target.identity, advisory, now, request_id)
 
     def maintain(self, listed: Iterable[Target]) -> None:
-        """Tell whose rest is over, and forget targets that are long gone."""
+        """Log back-offs that have expired, and drop targets that are gone.
+
+        Parameters
+        ----------
+        listed : iterable of Target
+            Targets that are still listed.
+        """
         now = time.monotonic()
         for identity in self.advisories.back_offs.pop_expired(now):
             log.info("target has rested", extra={"target": identity})
@@ -89,22 +112,22 @@
             leaving.forget_unlisted({target.identity for target in listed}, now)
 
     def snapshot(self) -> dict:
-        """Give what holds now, as plain values."""
+        """Return the advisories in effect, as plain values."""
         now = time.monotonic()
-        resting = self.advisories.back_offs.in_force(now)
+        backing_off = self.advisories.back_offs.in_force(now)
         return {
-            "resting_s": {t: round(until - now, 3) for t, until in resting.items()},
+            "resting_s": {t: round(until - now, 3) for t, until in backing_off.items()},
             "leaving": sorted(self.advisories.leaving.in_force(now)),
         }
 
     def _log_fault(self, target, fault):
         if self._log_limit.allows():
             log.warning(
-                "word of a target cannot be read",
+                "malformed advisory header of a target",
                 extra={
                     "target": target.identity,
                     "header": fault.header,
                     "text": fault.text,
-                    "left_out": self._log_limit.take_left_out(),
+                    "left_out": self._log_limit.take_suppressed(),
                 },
             )
--- a/packages/entry/src/cairnferry/entry/targets/_cold_targets.py
+++ b/packages/entry/src/cairnferry/entry/targets/_cold_targets.py
@@ -1,4 +1,4 @@
-"""Taking in which targets are cold, and telling it to the other daemons."""
+"""Record which targets are cold, and broadcast it to the other daemons."""
 
 import logging
 import time
@@ -18,65 +18,68 @@
 
 @attrs.define
 class ColdTargets:
-    """Brings what is heard of cold targets to the decisions.
+    """Records reports of cold targets for the policies.
+
+    A target is cold while it warms up after its start. During that time it gets
+    requests at a limited rate only.
 
     Parameters
     ----------
     limits : TargetLimits
-        What is known of them.
+        Holds the cold targets and their rates.
     metrics : Metrics
         Counts targets that became cold.
     is_needed : Event
-        To be set while permits are needed.
-    tell : callable
-        Spreads a note to all daemons; the second argument says whether it was told
-        before and is to go round once more.
+        Set while permits are needed.
+    broadcast : callable
+        Sends a note to all daemons. The second argument says whether the note was sent
+        before and is to be sent again.
     """
 
     limits: TargetLimits
     metrics: Metrics
     is_needed: Event
-    tell: Callable[[Note, bool], None]
+    broadcast: Callable[[Note, bool], None]
     _log_cold: RateLimit = attrs.field(factory=RateLimit)
 
     def note_check(
         self, target: Target, warmup_s: float | None, service: Service, sent: float
     ) -> None:
-        """Take in what the answer to a status check says.
+        """Record the warm-up time that an answer to a status check reports.
 
         Parameters
         ----------
         target : Target
             The target.
         warmup_s : float or None
-            Seconds for which it is still cold; None if it does not say.
+            Seconds for which the target is still cold; None if not reported.
         service : Service
-            Record of its service, which names the rate.
+            Record of the target's service, which sets the rate.
         sent : float
             Monotonic time in seconds at which the check began.
         """
         if warmup_s is None or not service.warmup_per_s:
             return
         now = time.monotonic()
-        # Counted from the answer: the target cannot be warm before that.
+        # Counted from the arrival of the answer: the target is not warm before that.
         until = now + warmup_s if warmup_s else sent
         identity = target.identity
         if self.limits.cold.note_own_report(identity, until, service.warmup_per_s, now):
             self._note_cold(identity, by="check")
             cold = self.limits.cold.get(identity)
-            self.tell(cold_note(identity, cold, now), False)
+            self.broadcast(cold_note(identity, cold, now), False)
 
     def note_row(self, target: Target, service: Service, warm_at: float) -> None:
-        """Take in what a target's row says.
+        """Record the warm-up time in a target's row.
 
         Parameters
         ----------
         target : Target
             The target.
         service : Service
-            Record of its service, which names the rate.
+            Record of the target's service, which sets the rate.
         warm_at : float
-            Monotonic time in seconds to which it is cold.
+            Monotonic time in seconds at which the target is warm.
         """
         if not service.warmup_per_s:
             return
@@ -85,14 +88,24 @@
         if self.limits.cold.note_row(target.identity, warm_at, per_s, now):
             self._note_cold(target.identity, by="row")
 
-    def learn(self, identity: str, told: ColdPeriod, by: str) -> None:
-        """Take in what another daemon knows."""
+    def merge(self, identity: str, reported: ColdPeriod, by: str) -> None:
+        """Merge what another daemon reports.
+
+        Parameters
+        ----------
+        identity : str
+            Identity of the target's start.
+        reported : ColdPeriod
+            Warm-up that the other daemon reports.
+        by : str
+            Origin of the report, for the log.
+        """
         now = time.monotonic()
-        if self.limits.cold.receive(identity, told.until, told.per_s, now):
+        if self.limits.cold.receive(identity, reported.until, reported.per_s, now):
             self._note_cold(identity, by)
 
     def drop_warm(self) -> None:
-        """Lift the limits of targets that are warm by now."""
+        """Lift the limits of targets that have become warm."""
         self.limits.cold.drop_warm(time.monotonic())
         if not self.limits:
             self.is_needed.clear()
@@ -109,6 +122,6 @@
                     "for_s": round(cold.until - time.monotonic(), 3),
                     "per_s": cold.per_s,
                     "by": by,
-                    "left_out": self._log_cold.take_left_out(),
+                    "left_out": self._log_cold.take_suppressed(),
                 },
             )
--- a/packages/entry/src/cairnferry/entry/targets/_conventions.py
+++ b/packages/entry/src/cairnferry/entry/targets/_conventions.py
@@ -1,7 +1,7 @@
-"""What callers and targets are spoken to with: names of headers, forms of answers.
+"""Conventions towards callers and targets: header names and response formats.
 
-The daemon is given one convention for each side. Those of the own interface are
-here; an adapter to another platform brings its own.
+A daemon has one convention for each side. The default conventions are defined here;
+an adapter for another platform supplies its own.
 """
 
 import math
@@ -35,171 +35,175 @@
 
 MS_PER_S = 1000
 HTTP_OK = 200
-# Requests a second that a target in need takes from all daemons together.
+# Requests per second that an overloaded target accepts from all daemons together.
 LIMIT_HEADERS = frozenset(["server-limit"])
 LEAVING_HEADERS = frozenset(["server-leaving"])
-# Statuses with which Retry-After is defined for what a server turns away.
-REST_STATUSES = frozenset([429, 503])
-# Seconds for which a target's word that it is leaving holds where its next start would
-# have the same name.
-LEAVING_BY_NAME_S = 30.0
+# Statuses for which Retry-After is defined as the delay after a refusal.
+BACK_OFF_STATUSES = frozenset([429, 503])
+# Seconds for which a leaving advisory is valid if the target's next start would have
+# the same name.
+LEAVING_WITHOUT_START_S = 30.0
 
 
 @attrs.frozen
 class CheckResult:
-    """What a target said when it was asked for its load.
+    """Result of a status check of a target.
 
     Attributes
     ----------
     report : LoadReport or None
-        Its load; None if it did not tell.
-    well : bool
-        Whether it calls itself well.
-    misplaced : bool
-        Whether another target has its address now.
-    heard : bool
-        Whether there was an answer at all.
+        Load of the target; None if not reported.
+    is_healthy : bool
+        Whether the target reports that it is healthy.
+    address_reused : bool
+        Whether another target has the address now.
+    answered : bool
+        Whether an answer was received.
     limit : float, LimitFault or None
-        Limit that it names.
+        Advertised limit in requests per second; None if there is none.
     warmup_s : float or None
-        Seconds for which it is still cold; None if it does not tell.
-    words : TargetAdvisory
-        What it says of itself.
+        Seconds for which the target is still cold; None if not reported.
+    advisory : TargetAdvisory
+        Advisory in the answer's headers.
     """
 
     report: LoadReport | None
     is_healthy: bool
     address_reused: bool = False
-    heard: bool = False
+    answered: bool = False
     limit: float | LimitFault | None = None
     warmup_s: float | None = None
     advisory: TargetAdvisory = NO_ADVISORY
 
 
 class CallerConvention(typing.Protocol):
-    """How callers speak."""
+    """Header conventions between the daemon and its callers."""
 
     def read_head(self, pairs: list[tuple[str, str]]) -> RequestHead:
-        """Sort the headers of a request.
+        """Parse the headers of a request.
 
         Raises
         ------
         BadDeadline
-            If the deadline cannot be read.
+            If the deadline header is malformed.
         """
 
     def retry_after(self, seconds: float) -> str:
-        """Write the value of Retry-After."""
+        """Return the value of Retry-After for a delay in seconds."""
 
     def local_answer_headers(self, head: RequestHead | None) -> list[tuple[str, str]]:
-        """Give further headers of an answer that the system makes itself."""
+        """Return extra headers for an answer that the daemon generates itself."""
 
 
 class TargetConvention(typing.Protocol):
-    """How targets speak."""
+    """Header conventions between the daemon and its targets."""
 
     def rules(self, head: RequestHead) -> ResponseRules:
-        """Give what counts as the whole answer to a request."""
+        """Return the rules that decide what is a complete answer to a request."""
 
     def host(self, head: RequestHead, target: Target) -> str:
-        """Give the Host header of an attempt."""
+        """Return the Host header of an attempt."""
 
     def attempt_headers(
         self, attempt: Attempt, remaining: float
     ) -> list[tuple[str, str]]:
-        """Give the headers that differ from attempt to attempt.
+        """Return the headers that differ between attempts of a request.
 
         Parameters
         ----------
         attempt : Attempt
-            The attempt.
+            Attempt that is about to be sent.
         remaining : float
-            Seconds left of the request's time.
+            Seconds left until the request's deadline.
         """
 
     def classify(self, outcome: Outcome, attempt: Attempt) -> AttemptResult:
-        """Give what an exchange proves."""
+        """Return the result of an attempt, given the outcome of its exchange."""
 
     def limit_of(self, outcome: Outcome) -> float | LimitFault | None:
-        """Read the limit that an answer names; None if it names none."""
+        """Return the limit that an answer advertises; None if there is none."""
 
     def denies_limit(self, outcome: Outcome) -> bool:
-        """Tell whether an answer that names no limit says that there is none.
+        """Return whether an answer without a limit header means "no limit".
 
-        Not each does: one that was made before the target looked at its need, such as
-        a refusal, tells nothing of it.
+        Some answers, such as refusals, are sent before the target evaluates its
+        limit. The missing header then says nothing about the limit.
         """
 
     def advisory_of(self, outcome: Outcome, target: Target) -> TargetAdvisory:
-        """Read what an answer says of its target."""
+        """Return the advisory in an answer's headers."""
 
     def read_check(self, outcome: Outcome, target: Target) -> CheckResult:
-        """Read the answer to a status check."""
+        """Parse the answer to a status check."""
 
 
 @attrs.frozen
 class DefaultCallerConvention:
-    """Published formats, and own headers where these lack something."""
+    """Default convention: published formats, and own headers where none exists."""
 
     def read_head(self, pairs: list[tuple[str, str]]) -> RequestHead:
-        """Sort the headers of a request."""
+        """Parse the headers of a request."""
         return read_request_head(pairs)
 
     def retry_after(self, seconds: float) -> str:
-        """Write whole seconds, as RFC 9110 has it."""
+        """Return the delay in whole seconds, as RFC 9110 specifies."""
         return str(max(1, round(seconds)))
 
     def local_answer_headers(self, head: RequestHead | None) -> list[tuple[str, str]]:
-        """Give none."""
+        """Return no extra headers."""
         return []
 
 
 @attrs.frozen
 class DefaultTargetConvention:
-    """Refusals by the contract in a target's record, load by the open standard."""
+    """Default convention: refusals by the target's contract, load by open standard."""
 
     def rules(self, head: RequestHead) -> ResponseRules:
-        """Give the strict ones: nothing in an answer proves whose it is."""
+        """Return the strict rules, as an answer has no proof of its origin."""
         return ResponseRules()
 
     def host(self, head: RequestHead, target: Target) -> str:
-        """Give the target's address."""
+        """Return the target's address."""
         return f"{target.host}:{target.port}"
 
     def attempt_headers(
         self, attempt: Attempt, remaining: float
     ) -> list[tuple[str, str]]:
-        """Give the time left, and the number of a further attempt."""
+        """Return the remaining time and, for further attempts, their number."""
         headers = [(TIMEOUT_HEADER, str(max(1, int(remaining * MS_PER_S))))]
         if attempt.kind is not AttemptKind.FIRST:
             headers.append((ATTEMPT_HEADER, str(len(attempt.call.attempts))))
         return headers
 
     def classify(self, outcome: Outcome, attempt: Attempt) -> AttemptResult:
-        """Give what an exchange proves."""
+        """Return the result of an attempt, given the outcome of its exchange."""
         return classify(outcome, attempt.refusal)
 
     def limit_of(self, outcome: Outcome) -> float | LimitFault | None:
-        """Read the limit that an answer names."""
+        """Return the limit that an answer advertises; None if there is none."""
         if not isinstance(outcome, Reply):
             return None
         return read_limit(outcome.headers, LIMIT_HEADERS)
 
     def denies_limit(self, outcome: Outcome) -> bool:
-        """Believe answers that are no refusals."""
+        """Return True for successful answers; refusals do not report limits."""
         return isinstance(outcome, Reply) and outcome.status == HTTP_OK
 
     def advisory_of(self, outcome: Outcome, target: Target) -> TargetAdvisory:
-        """Read what an answer says of its target."""
+        """Return the advisory in an answer's headers."""
         if not isinstance(outcome, Reply):
             return NO_ADVISORY
-        leaving_s = math.inf if target.started_ms else LEAVING_BY_NAME_S
+        leaving_s = math.inf if target.started_ms else LEAVING_WITHOUT_START_S
         return read_advisory(
-            outcome.status, outcome.headers, REST_STATUSES, LEAVING_HEADERS, leaving_s
+            outcome.status,
+            outcome.headers,
+            BACK_OFF_STATUSES,
+            LEAVING_HEADERS,
+            leaving_s,
         )
 
     def read_check(self, outcome: Outcome, target: Target) -> CheckResult:
-        """Read the load that comes with a health answer."""
+        """Parse the load report that comes with a health answer."""
         match outcome:
             case Reply() as reply:
                 report = read_report(reply.header(REPORT_HEADER))
--- a/packages/entry/src/cairnferry/entry/targets/_crash_detector.py
+++ b/packages/entry/src/cairnferry/entry/targets/_crash_detector.py
@@ -1,4 +1,4 @@
-"""Finding out whether a target ended under the requests that it ran."""
+"""Detect whether a target crashed while it ran requests."""
 
 import logging
 import math
@@ -14,39 +14,42 @@
 from cairnferry.entry.telemetry import Metrics, RateLimit
 from cairnferry.policy import SAME_CRASH_S, Attempt, RequestIdentity
 
-# Seconds for one look at a target whose connection broke. A sound one answers in some
-# 6 ms and the port of one that ended refuses at once; one that is cut off never says
-# anything.
-LOOK_TIMEOUT_S = 0.5
-# Starts of targets whose end is kept in mind: further connections to one that ended
-# break some time after the first. Several times the targets of a large installation.
-MAX_KNOWN = 1024
+# Seconds for one presence check of a target whose connection broke. A healthy target
+# answers in about 6 ms, and the port of a crashed target refuses immediately. A target
+# that is cut off from the network never answers.
+PRESENCE_TIMEOUT_S = 0.5
+# Number of target starts whose crash is remembered, because further connections to a
+# crashed target break some time after the first one. This is several times the number
+# of targets of a large installation.
+MAX_KNOWN_CRASHES = 1024
 
 log = logging.getLogger(__name__)
 
 
-# What a look shows of a target that ended. One that serves has dropped the request
-# alone. A connection breaks by an act of the other side's machine, so that silence
-# right after it is no cut of the network, which would have left the connection hanging.
-_ENDED = frozenset([Presence.REFUSING, Presence.REPLACED, Presence.SILENT])
+# Results of a presence check that mean that the target crashed. A target that serves
+# has only dropped the request. SILENT counts as a crash, because a network partition
+# leaves a connection hanging, whereas a connection that breaks was closed by the other
+# machine.
+_CRASHED = frozenset([Presence.REFUSING, Presence.REPLACED, Presence.SILENT])
 
 
 @attrs.frozen
 class InterruptedRequest:
-    """A request that a target had in hand when it ended.
+    """A request that was in flight when its target crashed.
 
     Attributes
     ----------
     identity : RequestIdentity
-        The request.
+        Identity of the request.
     request_id : str or None
-        The ID that its caller gave it.
+        ID that the caller assigned to the request.
     service : str
         Service of the target.
     target : str
-        Name of the target's start.
+        Identity of the target's start.
     started, ended : float
-        Monotonic times in seconds of the sending and of the break.
+        Monotonic times in seconds at which the request was sent and at which the
+        connection broke.
     """
 
     identity: RequestIdentity
@@ -58,117 +61,136 @@
 
 
 @attrs.define(eq=False)
-class _Look:
-    """A look at a target, and the requests that wait for what it shows."""
+class _PresenceCheck:
+    """A running presence check and the requests that depend on its result."""
 
-    runs: list[InterruptedRequest] = attrs.field(factory=list)
+    requests: list[InterruptedRequest] = attrs.field(factory=list)
     done: Event = attrs.field(factory=Event)
 
 
 @attrs.define
 class CrashDetector:
-    """Tells ends of targets from all else that breaks a connection.
+    """Distinguishes crashes of targets from other causes of broken connections.
 
-    A target that drops a request, or spoils an answer, goes on to serve; one that was
-    leaving ends whatever it runs. Taken for ends under a request, both would cast
-    suspicion on requests that are well.
+    A target that drops a request or sends a broken answer continues to serve. A target
+    that is leaving terminates whatever request it runs. If either counted as a crash,
+    harmless requests would become suspects.
 
     Parameters
     ----------
     upstreams : Upstreams
-        Looks at targets.
+        Checks whether targets are present.
     metrics : Metrics
-        Counts ends.
+        Counts crashes.
 
     Attributes
     ----------
-    on_end : callable
-        Called with each request that was in hand at an end.
+    on_crash : callable
+        Called with each request that was in flight at a crash.
     """
 
     upstreams: Upstreams
     metrics: Metrics
-    on_end: Callable[[InterruptedRequest], None] = lambda run: None
-    _looks: dict[str, _Look] = attrs.field(factory=dict)
-    _ended_at: OrderedDict[str, float] = attrs.field(factory=OrderedDict)
+    on_crash: Callable[[InterruptedRequest], None] = lambda interrupted: None
+    _presence_checks: dict[str, _PresenceCheck] = attrs.field(factory=dict)
+    _crashed_at: OrderedDict[str, float] = attrs.field(factory=OrderedDict)
     _log_limit: RateLimit = attrs.field(factory=RateLimit)
 
-    def note_break(
+    def note_broken_connection(
         self,
         attempt: Attempt,
         identity: RequestIdentity,
         request_id: str | None,
         service: str,
     ) -> Event | None:
-        """Take in that the target broke the connection on which a request ran.
+        """Record that the target broke the connection on which a request ran.
+
+        Parameters
+        ----------
+        attempt : Attempt
+            Attempt that ran on the connection.
+        identity : RequestIdentity
+            Identity of the request.
+        request_id : str or None
+            ID that the caller assigned to the request.
+        service : str
+            Service of the target.
 
         Returns
         -------
         Event or None
-            Set once it is known what that meant; None if it needs no look.
+            Set when the presence check is done; None if no check is needed.
         """
         now = time.monotonic()
         target = attempt.target
         if target.is_draining(now):
             return None
-        run = InterruptedRequest(
+        interrupted = InterruptedRequest(
             identity, request_id, service, target.identity, attempt.started, now
         )
-        if now - self._ended_at.get(target.identity, -math.inf) < SAME_CRASH_S:
-            self._tell([run], "known")
+        if now - self._crashed_at.get(target.identity, -math.inf) < SAME_CRASH_S:
+            self._report([interrupted], "known")
             return None
-        look = self._looks.get(target.identity)
-        if look is None:
-            look = self._looks[target.identity] = _Look()
-            gevent.spawn(self._look_at, target.record, look)
-        look.runs.append(run)
-        return look.done
-
-    def wait_for_look(self, identity: RequestIdentity) -> None:
-        """Wait while it is not known yet what became of a request's last target.
-
-        A caller that comes back sooner would be let pass as if no target had ended.
+        check = self._presence_checks.get(target.identity)
+        if check is None:
+            check = self._presence_checks[target.identity] = _PresenceCheck()
+            gevent.spawn(self._check_presence, target.record, check)
+        check.requests.append(interrupted)
+        return check.done
+
+    def wait_for_presence_check(self, identity: RequestIdentity) -> None:
+        """Wait for the running presence check of a request's last target.
+
+        Without this wait, a caller that retries before the check is done would be
+        admitted as if no target had crashed.
+
+        Parameters
+        ----------
+        identity : RequestIdentity
+            Identity of the request.
         """
-        for look in list(self._looks.values()):
-            if any(run.identity.is_same(identity) for run in look.runs):
-                look.done.wait()
+        for check in list(self._presence_checks.values()):
+            if any(
+                interrupted.identity.is_same(identity) for interrupted in check.requests
+            ):
+                check.done.wait()
 
-    def _look_at(self, record, look):
+    def _check_presence(self, record, check):
         try:
-            presence = self.upstreams.look_at(record, LOOK_TIMEOUT_S)
-            if presence in _ENDED:
+            presence = self.upstreams.check_presence(record, PRESENCE_TIMEOUT_S)
+            if presence in _CRASHED:
                 self._remember(record.identity)
-                self.metrics.target_ends[record.service] += 1
-                self._tell(look.runs, str(presence))
+                self.metrics.target_crashes[record.service] += 1
+                self._report(check.requests, str(presence))
         finally:
-            del self._looks[record.identity]
-            look.done.set()
+            del self._presence_checks[record.identity]
+            check.done.set()
 
     def _remember(self, identity):
-        self._ended_at[identity] = time.monotonic()
-        self._ended_at.move_to_end(identity)
-        if len(self._ended_at) > MAX_KNOWN:
-            self._ended_at.popitem(last=False)
-
-    def _tell(self, runs, seen):
-        for run in runs:
-            self.on_end(run)
+        self._crashed_at[identity] = time.monotonic()
+        self._crashed_at.move_to_end(identity)
+        if len(self._crashed_at) > MAX_KNOWN_CRASHES:
+            self._crashed_at.popitem(last=False)
+
+    def _report(self, requests, seen):
+        for interrupted in requests:
+            self.on_crash(interrupted)
         if self._log_limit.allows():
             log.warning(
                 "target ended under requests",
                 extra={
-                    "service": runs[0].service,
-                    "target": runs[0].target,
+                    "service": requests[0].service,
+                    "target": requests[0].target,
                     "seen": seen,
-                    "in_hand": [_told(run) for run in runs],
-                    "left_out": self._log_limit.take_left_out(),
+                    "in_hand": [_describe(interrupted) for interrupted in requests],
+                    "left_out": self._log_limit.take_suppressed(),
                 },
             )
 
 
-def _told(run):
-    """Tell a request in hand: what it is, whose, its ID, and how long it ran."""
-    ran_ms = round((run.ended - run.started) * 1000)
-    identity = run.identity
+def _describe(interrupted):
+    """Return a request's digest, caller, ID and running time as text for the log."""
+    ran_ms = round((interrupted.ended - interrupted.started) * 1000)
+    identity = interrupted.identity
     who = f"{identity.content} of {identity.caller_tag}"
-    return f"{who} {run.request_id or '-'} {ran_ms} ms"
+    return f"{who} {interrupted.request_id or '-'} {ran_ms} ms"
--- a/packages/entry/src/cairnferry/entry/targets/_exchange_result.py
+++ b/packages/entry/src/cairnferry/entry/targets/_exchange_result.py
@@ -1,4 +1,4 @@
-"""From what was seen of an exchange to what it proves."""
+"""Derive the result of an attempt from the outcome of its exchange."""
 
 from cairnferry.policy import (
     Answered,
@@ -11,26 +11,26 @@
 from cairnferry.records import RefusalContract
 from cairnferry.wire import Failure, Incomplete, NotSent, Outcome, Reply
 
-# The header of the open standard for load reports, in its text form.
+# Header of the open standard for load reports (ORCA), in its text form.
 REPORT_HEADER = "endpoint-load-metrics"
 REPORT_TEXT = "TEXT "
 IN_USE_METRIC = "named_metrics.in_use"
 DRAINING_VALUE = "draining"
 SERVER_ERROR = 500
-# Ends of an exchange that the target's side brought about: it closed or reset the
-# connection before the answer was whole.
+# Failures that the target's side caused by closing or resetting the connection before
+# the answer was complete.
 BREAKS = frozenset([Failure.RESET, Failure.CUT_SHORT])
 
 
 def classify(outcome: Outcome, refusal: RefusalContract | None) -> AttemptResult:
-    """Give what an exchange proves.
+    """Return the result of an attempt, given the outcome of its exchange.
 
     Parameters
     ----------
     outcome : Outcome
-        What was seen.
+        Outcome of the exchange.
     refusal : RefusalContract or None
-        How the target says that it did not run a request.
+        Status and header by which the target declares that it did not run a request.
     """
     match outcome:
         case NotSent(failure):
@@ -42,14 +42,14 @@
 
 
 def not_run_result(failure: Failure) -> NotRun:
-    """Give what it proves that no byte was written."""
+    """Return the result of an attempt of which no byte was written."""
     return NotRun(
         deadline=failure is Failure.TIMEOUT, withdrawn=failure is Failure.WITHDRAWN
     )
 
 
 def lost_result(outcome: Incomplete) -> Lost:
-    """Give what an exchange without a whole answer proves."""
+    """Return the result of an exchange that ended without a complete answer."""
     failure = outcome.failure
     return Lost(timed_out=failure is Failure.TIMEOUT, broken=failure in BREAKS)
 
@@ -64,22 +64,22 @@
 
 
 def read_report(text: str | None) -> LoadReport | None:
-    """Read the load from a report header; None if it is not there or is wrong."""
+    """Return the load in a report header; None if it is missing or malformed."""
     if text is None or not text.startswith(REPORT_TEXT):
         return None
     for part in text[len(REPORT_TEXT) :].split(","):
         name, _, value = part.strip().partition("=")
         if name == IN_USE_METRIC:
-            return _report(value)
+            return _parse_report(value)
     return None
 
 
-def _report(value):
+def _parse_report(value):
     try:
         in_use = float(value)
     except ValueError:
         return None
-    # A wrong report must not make a target look idle or full for good.
+    # An implausible report must not make a target appear idle or full permanently.
     if not 0 <= in_use < 1e6:
         return None
     return LoadReport(in_use)
--- a/packages/entry/src/cairnferry/entry/targets/_limit_header.py
+++ b/packages/entry/src/cairnferry/entry/targets/_limit_header.py
@@ -1,22 +1,22 @@
-"""Reading the limit that a target names in an answer."""
+"""Parse the limit header of a target's answer."""
 
 import re
 
 import attrs
 
-# A decimal number of requests a second, and nothing else: no sign, no exponent, no
-# "nan", which would compare with nothing.
+# A decimal number of requests per second without a sign or an exponent. "nan" is
+# excluded because every comparison with it is false.
 _DECIMAL = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?", re.ASCII)
 
 
 @attrs.frozen
 class LimitFault:
-    """A limit that cannot be read; it changes nothing.
+    """A malformed limit header, which has no effect.
 
     Attributes
     ----------
     text : str
-        What the answer says.
+        Value of the header.
     """
 
     text: str
@@ -25,24 +25,24 @@
 def read_limit(
     headers: list[tuple[str, str]], names: frozenset[str]
 ) -> float | LimitFault | None:
-    """Read the limit from the headers of a target's own answer.
+    """Parse the limit in the headers of a target's own answer.
 
     Parameters
     ----------
     headers : list of (str, str)
-        As received.
+        Headers as received.
     names : frozenset of str
-        Names of the header, in lower case.
+        Accepted names of the limit header, in lower case.
 
     Returns
     -------
     float, LimitFault or None
-        Requests a second, the lowest if there are several; None if none is named.
+        Requests per second, the lowest of several values; None without such a header.
     """
     values = [value for name, value in headers if name.lower() in names]
     if not values:
         return None
-    words = [word.strip() for value in values for word in value.split(",")]
-    if not all(_DECIMAL.fullmatch(word) for word in words):
-        return LimitFault(", ".join(words))
-    return min(float(word) for word in words)
+    parts = [part.strip() for value in values for part in value.split(",")]
+    if not all(_DECIMAL.fullmatch(part) for part in parts):
+        return LimitFault(", ".join(parts))
+    return min(float(part) for part in parts)
--- a/packages/entry/src/cairnferry/entry/targets/_limiter.py
+++ b/packages/entry/src/cairnferry/entry/targets/_limiter.py
@@ -1,4 +1,4 @@
-"""Taking in the limits that targets name, and telling them to the other daemons."""
+"""Record the limits that targets advertise, and broadcast them to other daemons."""
 
 import logging
 import time
@@ -11,7 +11,11 @@
 from cairnferry.entry.targets._cold_targets import ColdTargets
 from cairnferry.entry.targets._conventions import TargetConvention
 from cairnferry.entry.targets._limit_header import LimitFault
-from cairnferry.entry.targets._limit_notes import note_of, read_cold_note, read_note
+from cairnferry.entry.targets._limit_notes import (
+    limit_note,
+    read_cold_note,
+    read_limit_note,
+)
 from cairnferry.entry.telemetry import Metrics, RateLimit
 from cairnferry.policy import NO_LIMIT, AdvertisedLimit, Attempt, TargetLimits
 from cairnferry.records import Target
@@ -22,135 +26,163 @@
 
 @attrs.define
 class Limiter:
-    """Brings the limits that are named here and elsewhere to the decisions.
+    """Records limits that targets advertise to this daemon and to other daemons.
 
     Parameters
     ----------
     limits : TargetLimits
-        What is known of limits.
+        Limits and permits that the policies use.
     metrics : Metrics
-        Counts limits that were named, changed and lifted, and faulty ones.
-    tell : callable
-        Spreads a note to all daemons; the second argument says whether it was told
-        before and is to go round once more.
+        Counts limits that were advertised, changed and lifted, and malformed ones.
+    broadcast : callable
+        Sends a note to all daemons. The second argument says whether the note was sent
+        before and is to be sent again.
 
     Attributes
     ----------
     is_needed : Event
         Set while any target has a limit.
     cold : ColdTargets
-        Takes in which targets are cold.
+        Records which targets are cold.
     """
 
     limits: TargetLimits
     metrics: Metrics
-    tell: Callable[[Note, bool], None] = lambda note, again: None
+    broadcast: Callable[[Note, bool], None] = lambda note, again: None
     is_needed: Event = attrs.field(factory=Event)
     cold: ColdTargets = attrs.field(init=False)
     _log_limit: RateLimit = attrs.field(factory=RateLimit)
 
     def __attrs_post_init__(self):
-        self.cold = ColdTargets(self.limits, self.metrics, self.is_needed, self.tell)
+        self.cold = ColdTargets(
+            self.limits, self.metrics, self.is_needed, self.broadcast
+        )
 
-    # -- what targets say --------------------------------------------------------
+    # -- answers of targets --------------------------------------------------------
 
     def note_outcome(
         self, attempt: Attempt, outcome: Outcome, convention: TargetConvention
     ) -> None:
-        """Take in what the answer to a request says.
+        """Record the limit in the answer to a request.
 
         Parameters
         ----------
         attempt : Attempt
-            The attempt that ended.
+            Attempt that finished.
         outcome : Outcome
-            What came of it.
+            Outcome of its exchange.
         convention : TargetConvention
-            How targets speak.
+            Header conventions of targets.
         """
         identity = attempt.target.identity
-        word = convention.limit_of(outcome)
-        if word is None and self.limits.advertised.rate(identity) is not None:
-            word = NO_LIMIT if convention.denies_limit(outcome) else None
-        if word is not None:
-            self._note(identity, word, attempt.started)
+        limit = convention.limit_of(outcome)
+        if limit is None and self.limits.advertised.rate(identity) is not None:
+            limit = NO_LIMIT if convention.denies_limit(outcome) else None
+        if limit is not None:
+            self._note(identity, limit, attempt.started)
 
     def note_check(
-        self, identity: str, word: float | LimitFault | None, sent: float
+        self, identity: str, limit: float | LimitFault | None, sent: float
     ) -> None:
-        """Take in what an answer to a status check says.
+        """Record the limit in the answer to a status check.
 
         Parameters
         ----------
         identity : str
-            Name of the target's start.
-        word : float, LimitFault or None
-            The limit as it was read.
+            Identity of the target's start.
+        limit : float, LimitFault or None
+            Parsed limit header, in requests per second.
         sent : float
             Monotonic time in seconds at which the check began.
         """
-        if word is not None:
-            self._note(identity, word, sent)
+        if limit is not None:
+            self._note(identity, limit, sent)
 
-    def _note(self, identity, word, sent):
-        match word:
+    def _note(self, identity, limit, sent):
+        match limit:
             case LimitFault(text):
                 self.metrics.limits["faulty"] += 1
-                self._log("limit cannot be read", identity, text=text)
+                self._log("malformed limit header", identity, text=text)
             case per_s:
-                self._take(identity, per_s, sent)
+                self._apply(identity, per_s, sent)
 
-    def _take(self, identity, per_s, sent):
+    def _apply(self, identity, per_s, sent):
         advertised = self.limits.advertised
         now = time.monotonic()
         before = advertised.get(identity).per_s
         if advertised.note_answer(identity, per_s, sent, now):
-            self._change(identity, before, by="answer")
-            self.tell(note_of(identity, advertised.get(identity), now), False)
+            self._apply_change(identity, before, by="answer")
+            self.broadcast(limit_note(identity, advertised.get(identity), now), False)
 
-    # -- what other daemons say ----------------------------------------------------
+    # -- reports of other daemons ----------------------------------------------------
 
     def receive(self, subject: str, source: str, until: float) -> None:
-        """Take in a note of another daemon, or one of this daemon's own."""
+        """Apply a note of another daemon or of this daemon.
+
+        Parameters
+        ----------
+        subject : str
+            Identity of the target's start.
+        source : str
+            Source field of the note, which contains the limit.
+        until : float
+            Monotonic time in seconds at which the note expires.
+        """
         cold = read_cold_note(source, until, time.monotonic())
         if cold is not None:
-            self.cold.learn(subject, cold, by="others")
+            self.cold.merge(subject, cold, by="others")
             return
-        told = read_note(source, until)
-        if told is None:
-            log.info("limit of another release", extra={"source": source})
+        reported = read_limit_note(source, until)
+        if reported is None:
+            log.info("ignored limit note in unknown format", extra={"source": source})
             return
-        self.learn(subject, told, by="others")
+        self.merge(subject, reported, by="others")
 
-    def learn(self, identity: str, told: AdvertisedLimit, by: str) -> None:
-        """Take in what another daemon knows of a limit."""
+    def merge(self, identity: str, reported: AdvertisedLimit, by: str) -> None:
+        """Merge a limit that another daemon reports.
+
+        Parameters
+        ----------
+        identity : str
+            Identity of the target's start.
+        reported : AdvertisedLimit
+            Limit that the other daemon holds.
+        by : str
+            Origin of the report, for the log.
+        """
         before = self.limits.advertised.get(identity).per_s
-        if self.limits.advertised.receive(identity, told):
-            self._change(identity, before, by)
+        if self.limits.advertised.receive(identity, reported):
+            self._apply_change(identity, before, by)
 
-    def remind(self, identity: str) -> None:
-        """Tell all once more: some may have joined, or been cut off, since."""
+    def announce_again(self, identity: str) -> None:
+        """Broadcast a limit again for daemons that joined or were cut off since."""
         limit = self.limits.advertised.get(identity)
-        self.tell(note_of(identity, limit, time.monotonic()), True)
+        self.broadcast(limit_note(identity, limit, time.monotonic()), True)
 
-    # -- what follows --------------------------------------------------------------
+    # -- effects ---------------------------------------------------------------------
 
-    def _change(self, identity, before, by):
+    def _apply_change(self, identity, before, by):
         per_s = self.limits.advertised.get(identity).per_s
         if per_s < before or per_s == NO_LIMIT:
-            # What may be used under a higher limit is too much under this one.
+            # Permits issued under a higher limit are too many under this one.
             self.limits.discard_permits(identity)
         event = _event(before, per_s)
         self.metrics.limits[event] += 1
-        told = {"per_s": _told(per_s), "before": _told(before)}
-        self._log(f"limit {event}", identity, **told, by=by)
+        rates = {"per_s": _loggable(per_s), "before": _loggable(before)}
+        self._log(f"limit {event}", identity, **rates, by=by)
         if self.limits:
             self.is_needed.set()
         else:
             self.is_needed.clear()
 
     def forget_unlisted(self, targets: Iterable[Target]) -> None:
-        """Drop what is known of targets that are gone, by those that are listed."""
+        """Drop the limits of targets that are gone.
+
+        Parameters
+        ----------
+        targets : iterable of Target
+            Targets that are still listed.
+        """
         if self.limits.advertised.is_empty:
             return
         listed = {target.identity for target in targets}
@@ -167,11 +199,11 @@
 
     def _log(self, message, target, **facts):
         if self._log_limit.allows():
-            left_out = self._log_limit.take_left_out()
+            left_out = self._log_limit.take_suppressed()
             log.info(message, extra={"target": target, **facts, "left_out": left_out})
 
     def snapshot(self) -> dict:
-        """Give the limits in force and what was sent under them, as plain values."""
+        """Return the current limits and request counts under them, as plain values."""
         return {
             identity: {
                 "per_s": limit.per_s,
@@ -187,6 +219,6 @@
     return "named" if before == NO_LIMIT else "changed"
 
 
-def _told(per_s):
-    """Give a limit as it can stand in a line; None if there is none."""
+def _loggable(per_s):
+    """Return a limit as it appears in log lines; None if there is none."""
     return None if per_s == NO_LIMIT else per_s
--- a/packages/entry/src/cairnferry/entry/targets/_permits.py
+++ b/packages/entry/src/cairnferry/entry/targets/_permits.py
@@ -1,4 +1,4 @@
-"""Permits to send to limited targets: asking for them, and giving them."""
+"""Request and issue permits to send requests to limited targets."""
 
 import logging
 import random
@@ -17,8 +17,8 @@
     LimitState,
     PeerCallFailed,
     PeerLinks,
-    PermitsGiven,
-    PermitsWanted,
+    PermitQuery,
+    PermitReply,
 )
 from cairnferry.policy import (
     ISSUER_HOLD_OFF_S,
@@ -28,151 +28,175 @@
     PermitSchedule,
 )
 
-# Seconds between two rounds of asking, while any target names a limit: a part of the
-# time for which permits are given ahead.
+# Seconds between two rounds of requesting permits while any target has a limit: a part
+# of the time for which permits are issued in advance.
 ROUND_S = 0.05
-# Calls at the same time.
+# Maximum number of concurrent calls to issuers.
 MAX_CALLS = 16
-# Seconds after which one that is told that another daemon gives the permits, or gets no
-# answer, asks again: some rounds of heartbeats, after which views are alike again.
-ELSEWHERE_S = 0.2
-# Seconds between two reminders of a limit that holds.
-REMIND_S = 5.0
-# Seconds after which a schedule that nobody asked is dropped.
+# Seconds after which permits are requested again if the called daemon is not the issuer
+# or did not answer. This is some rounds of heartbeats, after which the daemons agree on
+# the membership again.
+RETRY_ELSEWHERE_S = 0.2
+# Seconds between two broadcasts of a limit that is still in effect.
+ANNOUNCE_INTERVAL_S = 5.0
+# Seconds after which a schedule without requests is dropped.
 UNUSED_S = 30.0
 
 log = logging.getLogger(__name__)
 
 
 @attrs.define
-class _Given:
-    """A target for which this daemon gives permits."""
+class _IssuedTarget:
+    """A target for which this daemon issues permits."""
 
     schedule: PermitSchedule
     per_s: float
-    asked_at: float
-    reminded_at: float
+    requested_at: float
+    announced_at: float
 
 
 @attrs.define
 class LocalPermitIssuer:
-    """Gives permits for the targets that fall to this daemon.
+    """Issues permits for the targets that are assigned to this daemon.
 
-    One counts for all. Equal parts would leave unused what falls to daemons without
-    requests, and could not be had of a limit below one request a second and daemon.
+    One daemon counts the permits of a target for all daemons. If each daemon had an
+    equal part of the limit instead, the parts of daemons without requests would remain
+    unused, and a limit below one request per second and daemon could not be divided.
 
     Parameters
     ----------
     limiter : Limiter
-        Knows the limits.
-    givers : PermitIssuers
-        Says which targets fall to this daemon, and which part of their limits.
+        Holds the limits.
+    issuers : PermitIssuers
+        Determines which targets are assigned to this daemon, and which share of their
+        limits.
     rng : random.Random
-        Spreads those that come again.
+        Spreads the retries of daemons that request permits.
     """
 
     limiter: Limiter
-    givers: PermitIssuers
+    issuers: PermitIssuers
     rng: random.Random
-    _given: dict[str, _Given] = attrs.field(factory=dict)
+    _schedules: dict[str, _IssuedTarget] = attrs.field(factory=dict)
 
-    def issue(self, asker: str, wanted: list[PermitsWanted]) -> list[PermitsGiven]:
-        """Answer a daemon that asks."""
+    def issue(self, requester: str, requested: list[PermitQuery]) -> list[PermitReply]:
+        """Return the permits granted to a daemon that requests some.
+
+        Parameters
+        ----------
+        requester : str
+            Name of the daemon.
+        requested : list of PermitQuery
+            Targets and the number of permits for each.
+        """
         now = time.monotonic()
-        return [self._give_one(asker, each, now) for each in wanted]
+        return [self._issue_one(requester, each, now) for each in requested]
 
-    def _give_one(self, asker, wanted, now):
-        target = wanted.limit.target
-        _learn(self.limiter, wanted.limit, now, by="one that asks")
+    def _issue_one(self, requester, requested, now):
+        target = requested.limit.target
+        _merge(self.limiter, requested.limit, now, by="one that asks")
         rate = self.limiter.limits.rate(target)
         if rate is None:
-            self._given.pop(target, None)
-            return PermitsGiven(self._state(target, now), (), ELSEWHERE_S)
-        if not self.givers.is_issuer(target, wanted.zone):
-            return PermitsGiven(self._state(target, now), (), ELSEWHERE_S)
-        given = self._schedule(target, rate, now)
-        part = rate * self.givers.visible_share(wanted.zone)
-        given.schedule.return_unused(wanted.returned, part)
-        grant = given.schedule.grant(asker, part, wanted.count, now)
-        return PermitsGiven(self._state(target, now), grant.delays, grant.retry_s)
+            self._schedules.pop(target, None)
+            return PermitReply(self._state(target, now), (), RETRY_ELSEWHERE_S)
+        if not self.issuers.is_issuer(target, requested.zone):
+            return PermitReply(self._state(target, now), (), RETRY_ELSEWHERE_S)
+        issued = self._schedule(target, rate, now)
+        share = rate * self.issuers.visible_share(requested.zone)
+        issued.schedule.return_unused(requested.returned, share)
+        grant = issued.schedule.grant(requester, share, requested.count, now)
+        return PermitReply(self._state(target, now), grant.delays, grant.retry_s)
 
     def _schedule(self, target, rate, now):
-        given = self._given.get(target)
-        if given is None:
-            schedule = PermitSchedule.begin(now, self.rng, self._hold_s(target, now))
-            given = self._given[target] = _Given(schedule, rate, now, now)
-        if given.per_s != rate:
-            given.per_s = rate
-            given.schedule.restart(rate, now)
-        given.asked_at = now
-        is_named = self.limiter.limits.advertised.rate(target) is not None
-        if is_named and now - given.reminded_at > REMIND_S:
-            given.reminded_at = now
-            self.limiter.remind(target)
-        return given
-
-    def _hold_s(self, target, now):
-        """Give the seconds for which another one's permits may still be used.
-
-        Nobody has given any for a target that has been cold for less than that.
+        issued = self._schedules.get(target)
+        if issued is None:
+            schedule = PermitSchedule.begin(
+                now, self.rng, self._hold_off_s(target, now)
+            )
+            issued = self._schedules[target] = _IssuedTarget(schedule, rate, now, now)
+        if issued.per_s != rate:
+            issued.per_s = rate
+            issued.schedule.restart(rate, now)
+        issued.requested_at = now
+        is_advertised = self.limiter.limits.advertised.rate(target) is not None
+        if is_advertised and now - issued.announced_at > ANNOUNCE_INTERVAL_S:
+            issued.announced_at = now
+            self.limiter.announce_again(target)
+        return issued
+
+    def _hold_off_s(self, target, now):
+        """Return the seconds for which another issuer's permits may still be used.
+
+        No daemon has issued any for a target that became cold only within this time.
         """
         cold = self.limiter.limits.cold.get(target)
         is_new = cold is not None and now - cold.since < ISSUER_HOLD_OFF_S
-        is_named = self.limiter.limits.advertised.rate(target) is not None
-        return 0.0 if is_new and not is_named else ISSUER_HOLD_OFF_S
+        is_advertised = self.limiter.limits.advertised.rate(target) is not None
+        return 0.0 if is_new and not is_advertised else ISSUER_HOLD_OFF_S
 
     def _state(self, target, now):
-        return state_of(self.limiter, target, now)
+        return limit_state(self.limiter, target, now)
 
     def drop_unused(self, now: float) -> None:
-        """Forget targets that nobody asks about any more."""
+        """Drop schedules of targets for which no daemon requests permits any more.
+
+        Parameters
+        ----------
+        now : float
+            Monotonic time in seconds.
+        """
         since = now - UNUSED_S
-        kept = {t: given for t, given in self._given.items() if given.asked_at > since}
-        self._given = kept
+        kept = {
+            t: issued
+            for t, issued in self._schedules.items()
+            if issued.requested_at > since
+        }
+        self._schedules = kept
 
 
 @attrs.define
 class PermitRequester:
-    """Asks for the permits that the next requests may use.
+    """Requests the permits that the next requests may use.
 
-    They are there before the requests, so that none of these waits for a message.
+    Permits are requested in advance, so that no request waits for a message between
+    daemons.
 
     Parameters
     ----------
     name : str
         Name of this daemon.
     services : Services
-        Whose requests use them.
+        Services whose requests use the permits.
     limiter : Limiter
-        Knows the limits, and holds the permits.
-    givers : PermitIssuers
-        Says whom to ask.
-    giving : LocalPermitIssuer
-        Asked for targets that fall to this daemon itself.
+        Holds the limits and the permits.
+    issuers : PermitIssuers
+        Determines the issuer for each target.
+    issuer : LocalPermitIssuer
+        Issuer for the targets that are assigned to this daemon itself.
     links : PeerLinks
-        Connections to the others.
+        Connections to the other daemons.
     """
 
     name: str
     services: Services
     limiter: Limiter
-    givers: PermitIssuers
+    issuers: PermitIssuers
     issuer: LocalPermitIssuer
     links: PeerLinks
     _not_before: dict[str, float] = attrs.field(factory=dict)
     _returned: dict[str, int] = attrs.field(factory=dict)
-    _asking: set[str] = attrs.field(factory=set)
+    _pending: set[str] = attrs.field(factory=set)
     _calls: Pool = attrs.field(factory=lambda: Pool(MAX_CALLS))
 
     def run(self) -> None:
-        """Ask, round after round, while any target names a limit."""
+        """Request permits in rounds while any target has a limit."""
         while True:
             self.limiter.is_needed.wait()
             self.one_round()
             gevent.sleep(ROUND_S)
 
     def one_round(self) -> None:
-        """Ask once for all that is wanted."""
+        """Request all permits that are needed now."""
         now = time.monotonic()
         self.issuer.drop_unused(now)
         self.limiter.cold.drop_warm()
@@ -185,75 +209,87 @@
         for target, count in limits.pop_expired(now).items():
             self._returned[target] = self._returned.get(target, 0) + count
         self._not_before = {t: at for t, at in self._not_before.items() if at > now}
-        for giver, wanted in self._by_giver(self._wanted(now)).items():
-            if giver.name == self.name:
-                self._ask_here(wanted, now)
+        for peer, requested in self._by_issuer(self._needed(now)).items():
+            if peer.name == self.name:
+                self._request_locally(requested, now)
             elif not self._calls.full():
-                self._asking.update(each.target.identity for each in wanted)
-                self._calls.spawn(self._ask, giver, wanted)
+                self._pending.update(each.target.identity for each in requested)
+                self._calls.spawn(self._request, peer, requested)
 
-    def _wanted(self, now) -> Iterable[PermitRequest]:
-        barred = self._not_before.keys() | self._asking
+    def _needed(self, now) -> Iterable[PermitRequest]:
+        excluded = self._not_before.keys() | self._pending
         for runtime in self.services.active().values():
-            yield from runtime.policy.permits_to_request(barred, now)
+            yield from runtime.policy.permits_to_request(excluded, now)
 
-    def _by_giver(self, wanted) -> dict[PermitIssuer, list[PermitRequest]]:
+    def _by_issuer(self, requested) -> dict[PermitIssuer, list[PermitRequest]]:
         grouped = defaultdict(list)
-        for each in wanted:
-            giver = self.givers.issuer_for(each.target.identity, each.target.zone)
-            if giver is not None:
-                grouped[giver].append(each)
+        for each in requested:
+            peer = self.issuers.issuer_for(each.target.identity, each.target.zone)
+            if peer is not None:
+                grouped[peer].append(each)
         return grouped
 
-    def _ask_here(self, wanted, now):
-        messages = [self._message(each, now) for each in wanted]
-        self._take(self.issuer.issue(self.name, messages), now)
+    def _request_locally(self, requested, now):
+        messages = [self._message(each, now) for each in requested]
+        self._apply_grants(self.issuer.issue(self.name, messages), now)
 
-    def _ask(self, giver, wanted):
+    def _request(self, peer, requested):
         now = time.monotonic()
-        is_far = giver.zone != self.services.zone
-        link = self.links.to(giver.peer_address, is_far)
-        messages = tuple(self._message(each, now) for each in wanted)
+        is_cross_zone = peer.zone != self.services.zone
+        link = self.links.link_to(peer.peer_address, is_cross_zone)
+        messages = tuple(self._message(each, now) for each in requested)
         try:
-            given = link.ask_permits(self.name, messages)
-            self._take(given, time.monotonic())
+            granted = link.request_permits(self.name, messages)
+            self._apply_grants(granted, time.monotonic())
         except PeerCallFailed as exc:
-            self.givers.mark_unresponsive(giver.name)
-            for each in wanted:
-                self._not_before[each.target.identity] = now + ELSEWHERE_S
-            extra = {"peer": giver.name, "why": exc.reason}
-            log.info("no answer on permits", extra=extra)
+            self.issuers.mark_unresponsive(peer.name)
+            for each in requested:
+                self._not_before[each.target.identity] = now + RETRY_ELSEWHERE_S
+            extra = {"peer": peer.name, "why": exc.reason}
+            log.info("no answer to a request for permits", extra=extra)
         finally:
-            self._asking.difference_update(each.target.identity for each in wanted)
+            self._pending.difference_update(each.target.identity for each in requested)
 
-    def _message(self, wanted, now):
-        target = wanted.target
+    def _message(self, requested, now):
+        target = requested.target
         returned = self._returned.pop(target.identity, 0)
-        state = state_of(self.limiter, target.identity, now)
-        return PermitsWanted(state, target.zone, wanted.count, returned)
+        state = limit_state(self.limiter, target.identity, now)
+        return PermitQuery(state, target.zone, requested.count, returned)
 
-    def _take(self, given, now):
+    def _apply_grants(self, granted, now):
         limits = self.limiter.limits
-        for each in given:
+        for each in granted:
             target = each.limit.target
-            _learn(self.limiter, each.limit, now, by="the one that gives permits")
+            _merge(self.limiter, each.limit, now, by="the one that gives permits")
             if each.limit.per_s == limits.advertised.get(target).per_s:
                 limits.add_permits(target, [now + delay for delay in each.delays])
             self._not_before[target] = now + each.retry_s
         for runtime in self.services.active().values():
-            runtime.settle_waiting()
+            runtime.release_waiting()
 
 
-def _learn(limiter, told, now, by):
-    """Take in what another daemon knows of a target's limit."""
-    limiter.learn(told.target, AdvertisedLimit(told.per_s, now - told.age), by)
-    if told.cold_s:
-        cold = ColdPeriod(now, now + told.cold_s, told.cold_per_s)
-        limiter.cold.learn(told.target, cold, by)
+def _merge(limiter, reported, now, by):
+    """Merge what another daemon reports of a target's limit and warm-up."""
+    limiter.merge(
+        reported.target, AdvertisedLimit(reported.per_s, now - reported.age), by
+    )
+    if reported.cold_s:
+        cold = ColdPeriod(now, now + reported.cold_s, reported.cold_per_s)
+        limiter.cold.merge(reported.target, cold, by)
 
 
-def state_of(limiter: Limiter, target: str, now: float) -> LimitState:
-    """Give what is known here of a target's limit, for another daemon."""
+def limit_state(limiter: Limiter, target: str, now: float) -> LimitState:
+    """Return this daemon's state of a target's limit, for another daemon.
+
+    Parameters
+    ----------
+    limiter : Limiter
+        Holds the limits.
+    target : str
+        Identity of the target's start.
+    now : float
+        Monotonic time in seconds.
+    """
     limit = limiter.limits.advertised.get(target)
     state = LimitState(target, limit.per_s, now - limit.at)
     cold = limiter.limits.cold.get(target)
--- a/packages/entry/src/cairnferry/entry/targets/_probing.py
+++ b/packages/entry/src/cairnferry/entry/targets/_probing.py
@@ -1,4 +1,4 @@
-"""Probes of targets' health, within a budget that load does not raise."""
+"""Health probes of targets, within a budget that does not grow with the load."""
 
 import json
 import logging
@@ -18,7 +18,9 @@
 from cairnferry.wire import Client, Reply
 
 PROBE_TIMEOUT_S = 0.5
+# Maximum number of concurrent probes.
 MAX_PROBES = 64
+# Seconds for which a note about a draining target is valid.
 HEALTH_NOTE_S = 8.0
 HTTP_OK = 200
 
@@ -27,18 +29,18 @@
 
 @attrs.define
 class HealthProber:
-    """Probes the targets that fall to this daemon and notes what it learns.
+    """Probes the targets that are assigned to this daemon and reports the results.
 
     Parameters
     ----------
     cluster : Cluster
-        Who else may probe, and where notes go.
+        Daemons that share the probes and receive notes about draining targets.
     services : Services
-        The targets, and the policies that want the results.
+        Targets, and the policies that use the results.
     metrics : Metrics
         Counts probes.
-    hurry : callable
-        Spreads news at once.
+    trigger_round : callable
+        Starts the next round of gossip at once.
     """
 
     cluster: Cluster
@@ -48,14 +50,14 @@
     _plan: ProbePlan = attrs.field(
         factory=lambda: ProbePlan(PolicySettings().probe_interval_s)
     )
-    _shared_basis: tuple = ()
+    _assignment_basis: tuple = ()
     _tasks: Pool = attrs.field(factory=lambda: Pool(MAX_PROBES))
 
     def assign_targets(self) -> None:
-        """Work out which targets fall to this daemon, if that may have changed.
+        """Update which targets are assigned to this daemon, if that may have changed.
 
-        Daemons that the platform lists count even while no peer hears of them:
-        in a partition each side would otherwise spend the whole budget.
+        Daemons that the platform lists count even if no peer receives heartbeats from
+        them. Otherwise each side of a partition would spend the whole budget.
         """
         membership = self.cluster.membership
         zones = {member.name: member.zone for member in membership.live()}
@@ -63,17 +65,21 @@
         for name, listed in self.cluster.listed.items():
             zones.setdefault(name, listed.zone)
         basis = (zones, alive, self.services.revision)
-        if basis == self._shared_basis:
+        if basis == self._assignment_basis:
             return
-        self._shared_basis = basis
+        self._assignment_basis = basis
         targets = self.services.targets()
         for target in targets:
-            share = self._share(target, zones, alive)
+            share = self._share_of(target, zones, alive)
             self._plan.set_share(target.name, share)
         self._plan.keep_only({target.name for target in targets})
 
-    def _share(self, target, zones, alive):
-        """Rank the daemons of the target's zone; all, if it has none."""
+    def _share_of(self, target, zones, alive):
+        """Return this daemon's share of the probes of a target.
+
+        The daemons of the target's zone are ranked, or all daemons if that zone has
+        none.
+        """
         near = [name for name, zone in zones.items() if zone == target.zone]
         names = near or list(zones)
         ranked = sorted(names, key=lambda name: rank(target.name, name))
@@ -104,7 +110,7 @@
 
 
 def _says_draining(reply):
-    """Read the state from the JSON of a health answer (draft health+json)."""
+    """Return whether the JSON of a health answer (draft health+json) says draining."""
     try:
         document = json.loads(reply.body)
     except ValueError:
--- a/packages/entry/src/cairnferry/entry/targets/_runtime.py
+++ b/packages/entry/src/cairnferry/entry/targets/_runtime.py
@@ -1,4 +1,4 @@
-"""A service's policy at work: clock, waiting requests, wake-ups."""
+"""Runtime of a service's policy: clock, waiting requests and wake-ups."""
 
 import logging
 import time
@@ -17,46 +17,46 @@
     Wait,
 )
 
-# Room also comes up by time alone, as reports age; this often it is looked for
-# while requests wait, in seconds.
-LOOK_INTERVAL_S = 0.002
+# Seconds between two checks for free capacity while requests wait. Capacity also
+# becomes free without an event, because load reports age.
+RELEASE_INTERVAL_S = 0.002
 
 log = logging.getLogger(__name__)
 
 
 class ServiceRuntime:
-    """Drives one policy for the tasks of many callers.
+    """Runs one policy for the concurrent tasks of many callers.
 
     Parameters
     ----------
     policy : ServicePolicy
-        The decisions.
+        Policy that makes the decisions.
     """
 
     def __init__(self, policy: ServicePolicy):
         self.policy = policy
         self._waiting: dict[Call, AsyncResult] = {}
-        self._looker = None
+        self._release_task = None
         self._log_limit = RateLimit()
 
     def arrive(self, call: Call) -> Decision:
-        """Decide about a request that arrives."""
-        return self._noted(call, self.policy.arrive(call, time.monotonic()))
+        """Return the decision on a request that has arrived."""
+        return self._track_waiting(call, self.policy.arrive(call, time.monotonic()))
 
     def resume(self, call: Call) -> Decision:
-        """Decide about a request once the targets to ask have been asked."""
-        return self._noted(call, self.policy.resume(call, time.monotonic()))
+        """Return the decision on a request after its status checks or its pause."""
+        return self._track_waiting(call, self.policy.resume(call, time.monotonic()))
 
     def finished(self, attempt: Attempt, result: AttemptResult) -> Decision:
-        """Decide what follows an attempt, and let others use the room it left."""
+        """Return the decision after an attempt; waiting requests get its capacity."""
         decision = self.policy.finished(attempt, result, time.monotonic())
-        self._noted(attempt.call, decision)
-        self.settle_waiting()
+        self._track_waiting(attempt.call, decision)
+        self.release_waiting()
         self._log_events()
         return decision
 
     def _log_events(self):
-        """Write what changed in the belief about targets, up to a rate."""
+        """Log changes in the assumed condition of targets, at a limited rate."""
         for event in self.policy.take_events():
             if self._log_limit.allows():
                 log.info(
@@ -65,33 +65,33 @@
                         "service": self.policy.service.name,
                         "target": event.target,
                         **event.inputs,
-                        "left_out": self._log_limit.take_left_out(),
+                        "left_out": self._log_limit.take_suppressed(),
                     },
                 )
 
     def cancelled(self, attempt: Attempt) -> None:
-        """Take in that an attempt was cut off here."""
+        """Record that this daemon cancelled an attempt."""
         self.policy.cancelled(attempt, time.monotonic())
-        self.settle_waiting()
+        self.release_waiting()
 
     def wait(self, call: Call) -> Decision:
-        """Wait until it is decided about a request that has to wait."""
-        # If this is interrupted the decision stays, for `abandon` to undo it: a
-        # place may have been given to the request at the same moment.
+        """Wait for the decision on a queued request and return it."""
+        # If this is interrupted, the decision stays in place for `abandon` to undo,
+        # because the request may have been granted capacity at the same moment.
         decision = self._waiting[call].get()
         del self._waiting[call]
         return decision
 
     def abandon(self, call: Call) -> None:
-        """Drop a request whose caller went away, in whatever state it is."""
+        """Drop a request whose caller disconnected, in whatever state it is."""
         self.policy.abandon(call)
         event = self._waiting.pop(call, None)
         if event is not None and event.ready() and isinstance(event.value, Send):
-            # Room was given to it at the same moment; give it back.
+            # The request was granted capacity at the same moment; release it.
             self.cancelled(event.value.attempt)
 
-    def settle_waiting(self) -> None:
-        """Tell waiting requests what was decided about them."""
+    def release_waiting(self) -> None:
+        """Pass new decisions to the waiting requests."""
         if not self._waiting:
             return
         for call, decision in self.policy.release(time.monotonic()):
@@ -101,15 +101,15 @@
             elif isinstance(decision, Send):
                 self.policy.cancelled(decision.attempt, time.monotonic())
 
-    def _noted(self, call, decision):
+    def _track_waiting(self, call, decision):
         if isinstance(decision, Wait):
             self._waiting[call] = AsyncResult()
-            if self._looker is None:
-                self._looker = gevent.spawn(self._look)
+            if self._release_task is None:
+                self._release_task = gevent.spawn(self._release_loop)
         return decision
 
-    def _look(self):
+    def _release_loop(self):
         while self._waiting:
-            gevent.sleep(LOOK_INTERVAL_S)
-            self.settle_waiting()
-        self._looker = None
+            gevent.sleep(RELEASE_INTERVAL_S)
+            self.release_waiting()
+        self._release_task = None
--- a/packages/entry/src/cairnferry/entry/targets/_services.py
+++ b/packages/entry/src/cairnferry/entry/targets/_services.py
@@ -1,4 +1,4 @@
-"""Routes and services in force at this daemon."""
+"""Routes and services in effect at this daemon."""
 
 import random
 import time
@@ -7,7 +7,7 @@
 import attrs
 
 from cairnferry.entry.targets._runtime import ServiceRuntime
-from cairnferry.entry.targets._weights import WeightedTurns
+from cairnferry.entry.targets._weights import WeightedRoundRobin
 from cairnferry.policy import (
     AdvisoryRegistry,
     PolicySettings,
@@ -21,8 +21,8 @@
 class Services:
     """Finds the route and the policy for a path.
 
-    The policy of a service is made at its first request: a daemon to which a
-    service is not steered holds nothing for it but its records.
+    The policy of a service is created at its first request. A daemon that gets no
+    requests for a service holds only its records.
 
     Parameters
     ----------
@@ -31,18 +31,20 @@
     rng : random.Random
         Source of randomness.
     on_start : callable
-        Called with each policy that is made, to tell it what is known already.
+        Called with each new policy, to initialize it with the daemon's current state.
     settings : PolicySettings, optional
         Constants of the policies.
     limits : TargetLimits, optional
-        Limits that targets name.
-    holds : AdvisoryRegistry, optional
-        What targets have asked of this daemon.
+        Limits that targets advertise.
+    advisories : AdvisoryRegistry, optional
+        Advisories of targets that are in effect.
 
     Attributes
     ----------
+    revision : int
+        Revision of the records in effect; 0 before the first one.
     evacuated : frozenset of str
-        Availability zones whose targets are sent nothing.
+        Availability zones whose targets get no requests.
     """
 
     zone: str
@@ -55,12 +57,12 @@
     evacuated: frozenset[str] = frozenset()
     _services: dict[str, Service] = attrs.field(factory=dict)
     _routes: dict[tuple[str | None, str], Route] = attrs.field(factory=dict)
-    _shares: dict[str, WeightedTurns] = attrs.field(factory=dict)
+    _rotations: dict[str, WeightedRoundRobin] = attrs.field(factory=dict)
     _targets: dict[str, list[Target]] = attrs.field(factory=dict)
     _runtimes: dict[str, ServiceRuntime] = attrs.field(factory=dict)
 
     def install(self, records: RecordSet) -> None:
-        """Put a set of records in force."""
+        """Put a set of records into effect."""
         services = records.of_kind(Kind.SERVICE)
         routes = records.of_kind(Kind.ROUTE)
         self._set_rules(records.revision, services, routes)
@@ -69,7 +71,7 @@
     def install_rules(
         self, revision: int, services: list[Service], routes: list[Route]
     ) -> None:
-        """Put services and routes in force, where targets come from elsewhere."""
+        """Put services and routes into effect if targets have another source."""
         self._set_rules(revision, services, routes)
         self._update_all()
 
@@ -79,34 +81,34 @@
         self._routes = {
             (route.host, route.path_prefix.rstrip("/")): route for route in routes
         }
-        self._shares = {
-            route.name: self._turns(route) for route in routes if route.backends
+        self._rotations = {
+            route.name: self._rotation_for(route) for route in routes if route.backends
         }
 
-    def _turns(self, route):
-        """Go on with the turns of a route whose weights are the same as before.
+    def _rotation_for(self, route):
+        """Return the rotation of a route, and keep it if the weights are unchanged.
 
-        Beginning anew at each change would give the first backend more than its
-        part where changes come in quick succession.
+        A restart at each change would give the first backend more than its share if
+        changes follow each other quickly.
         """
-        known = self._shares.get(route.name)
-        if known is not None and known.backends == route.backends:
-            return known
-        return WeightedTurns.start(route.backends, self.rng)
+        existing = self._rotations.get(route.name)
+        if existing is not None and existing.backends == route.backends:
+            return existing
+        return WeightedRoundRobin.start(route.backends, self.rng)
 
     def install_targets(self, targets: list[Target]) -> None:
-        """Put the targets of all services in force."""
+        """Put the targets of all services into effect."""
         self._targets = {}
         for target in targets:
             self._targets.setdefault(target.service, []).append(target)
         self._update_all()
 
     def evacuate(self, zones: frozenset[str]) -> None:
-        """Send nothing to the targets of these availability zones, and of no others."""
+        """Exclude the targets of exactly these availability zones from requests."""
         self.evacuated = zones
         for runtime in self._runtimes.values():
             runtime.policy.evacuate(zones)
-            runtime.settle_waiting()
+            runtime.release_waiting()
 
     def _update_all(self):
         for name in list(self._runtimes):
@@ -120,17 +122,17 @@
         runtime = self._runtimes[name]
         targets = self._targets.get(name, [])
         runtime.policy.update(service, targets, time.monotonic())
-        runtime.settle_waiting()
+        runtime.release_waiting()
 
     def route(self, path: str, host: str | None = None) -> Route | None:
-        """Give the route with the longest prefix of whole path segments.
+        """Return the route with the longest matching prefix of whole path segments.
 
         Parameters
         ----------
         path : str
-            As in the request line, with its query.
+            Path of the request line, with its query.
         host : str or None
-            Host that the caller named; a route without one takes any.
+            Host in the caller's request. A route without a host matches any host.
         """
         name = host and _host_name(host)
         prefix = path.partition("?")[0].rstrip("/")
@@ -141,12 +143,12 @@
             prefix = prefix.rpartition("/")[0]
 
     def service_for(self, route: Route) -> str:
-        """Give the service for the next request of a route."""
-        turns = self._shares.get(route.name)
-        return turns.take() if turns else route.service
+        """Return the service for the next request of a route."""
+        rotation = self._rotations.get(route.name)
+        return rotation.next_service() if rotation else route.service
 
     def runtime(self, name: str) -> ServiceRuntime | None:
-        """Give what runs a service here; None if there is no such service."""
+        """Return the runtime of a service; None if there is no such service."""
         runtime = self._runtimes.get(name)
         if runtime is None:
             service = self._services.get(name)
@@ -168,14 +170,14 @@
         return runtime
 
     def active(self) -> dict[str, ServiceRuntime]:
-        """Give the services that have had a request here."""
+        """Return the services that have had a request at this daemon."""
         return self._runtimes
 
     def targets(self) -> list:
-        """List the targets of all services."""
+        """Return the targets of all services."""
         return [target for targets in self._targets.values() for target in targets]
 
 
 def _host_name(host):
-    """Drop the port; names compare without regard to case."""
+    """Return a host without its port, in lower case for comparison."""
     return host.partition(":")[0].lower()
--- a/packages/entry/src/cairnferry/entry/targets/_status_checks.py
+++ b/packages/entry/src/cairnferry/entry/targets/_status_checks.py
@@ -1,4 +1,4 @@
-"""Status checks made right before a request is placed."""
+"""Status checks of targets, made immediately before a request is placed."""
 
 import time
 
@@ -16,26 +16,29 @@
 from cairnferry.policy import DrainSource
 from cairnferry.records import Target
 
-# Longest wait in seconds for the answers of a round: many times what a sound target
-# takes; one that takes longer would not be chosen anyway.
+# Longest wait in seconds for the answers to one round of status checks. A healthy
+# target answers many times faster; a slower one would not be chosen anyway.
 ANSWER_WAIT_S = 0.03
-# Turns of the event loop in which answers that are there already are still taken: one
-# to notice that a socket is readable, one to read it, one to tell.
-LOOKS_AFTER_TIME = 3
-# Time in seconds after which a check is given up and its connection closed.
+# Turns of the event loop after the wait in which answers that have already arrived are
+# still accepted: one to notice that a socket is readable, one to read it and one to
+# report the result.
+LATE_ANSWER_TURNS = 3
+# Seconds after which a check is abandoned and its connection is closed.
 CHECK_TIMEOUT_S = 0.5
-# Part of the budget of status checks that is used; the rest covers instances that
-# this one does not know of yet.
+# Fraction of the status check budget that is used. The rest is reserved for instances
+# that this one has not discovered yet.
 BUDGET_SHARE = 0.9
-# Seconds of the rate that may be spent at once, so that a burst can still ask.
-BURST_S = 4.0
-# Seconds for which a target at whose address another one answered gets no work.
-MISPLACED_S = 30.0
+# Seconds' worth of the rate that may be spent at once, so that a burst of requests can
+# still check targets.
+BUDGET_BURST_S = 4.0
+# Seconds for which a target gets no requests after another target answered at its
+# address.
+ADDRESS_REUSED_S = 30.0
 
 
 @attrs.define(eq=False)
 class _Check:
-    """A check under way; requests that want the same one share it."""
+    """A running check, shared by all requests that need the same target's status."""
 
     target: Target
     started: float
@@ -44,7 +47,7 @@
 
 @attrs.define
 class StatusChecks:
-    """Asks targets for their load, within a budget that all instances share.
+    """Checks targets' load within a budget that all instances share.
 
     Parameters
     ----------
@@ -53,11 +56,11 @@
     metrics : Metrics
         Counts checks.
     rate : float
-        Checks a second for each target, over all instances; 0 for no limit.
+        Checks per second and target, summed over all instances; 0 for no limit.
     limiter : Limiter, optional
-        Takes in limits that the answers name.
-    listener : AdvisoryRecorder, optional
-        Takes in what targets say of themselves.
+        Records the limits that the answers advertise.
+    advisory_recorder : AdvisoryRecorder, optional
+        Records the advisories in the answers.
     """
 
     upstreams: Upstreams
@@ -71,20 +74,36 @@
     _running: dict[str, _Check] = attrs.field(factory=dict)
 
     def set_instances(self, instances: int, targets: int) -> None:
-        """Work out this instance's part of the budget."""
+        """Update this instance's share of the check budget.
+
+        Parameters
+        ----------
+        instances : int
+            Number of instances that share the budget.
+        targets : int
+            Number of targets of all services.
+        """
         bucket = self._bucket
         was_empty = not bucket.burst
         bucket.rate = BUDGET_SHARE * self.rate * targets / max(1, instances)
-        bucket.burst = bucket.rate * BURST_S
+        bucket.burst = bucket.rate * BUDGET_BURST_S
         if was_empty:
-            # The requests of the first seconds would go out unasked.
+            # Without a full bucket, requests in the first seconds would be placed
+            # without a status check.
             bucket.tokens = bucket.burst
 
-    def ask(self, targets: tuple[Target, ...], runtime: ServiceRuntime) -> None:
-        """Ask all targets at the same time; come back when they have answered.
+    def check_all(self, targets: tuple[Target, ...], runtime: ServiceRuntime) -> None:
+        """Check all targets concurrently and wait for their answers.
+
+        Each answer is reported to the policy when it arrives. An answer that arrives
+        after the wait is still reported, for use by the next request.
 
-        The policy is told each answer as it comes, also one that comes after the
-        wait: then the next request knows it.
+        Parameters
+        ----------
+        targets : tuple of Target
+            Targets to check.
+        runtime : ServiceRuntime
+            Runtime of their service.
         """
         checks = [self._check(target, runtime) for target in targets]
         checks = [check for check in checks if check is not None]
@@ -93,13 +112,13 @@
             check.done.wait(max(0.0, deadline - time.monotonic()))
         if all(check.done.is_set() for check in checks):
             return
-        # A process that was held up finds its time over and the answers there at the
-        # same moment. Without a look at these all targets would count as silent.
-        for _ in range(LOOKS_AFTER_TIME):
+        # If the process was stalled, the timeout and the answers become visible at the
+        # same time. Without these turns all targets would count as silent.
+        for _ in range(LATE_ANSWER_TURNS):
             gevent.sleep(0)
         for check in checks:
             if not check.done.is_set():
-                # The next request need not wait for it as well.
+                # Spares the next request the wait for this target.
                 runtime.policy.note_missed_check(
                     check.target.identity, time.monotonic()
                 )
@@ -120,12 +139,12 @@
         target = check.target
         try:
             result = self.upstreams.check(target, CHECK_TIMEOUT_S)
-            self._tell(check, result, runtime)
+            self._report(check, result, runtime)
         finally:
             self._running.pop(target.identity, None)
             check.done.set()
 
-    def _tell(self, check, result: CheckResult, runtime):
+    def _report(self, check, result: CheckResult, runtime):
         now = time.monotonic()
         target = check.target
         if self.limiter is not None:
@@ -135,7 +154,7 @@
                 target, result.warmup_s, service, check.started
             )
         if self.advisory_recorder is not None:
-            self.advisory_recorder.note(target, result.advisory, runtime)
+            self.advisory_recorder.record(target, result.advisory, runtime)
         self.metrics.probes["healthy" if result.is_healthy else "unhealthy"] += 1
         if result.warmup_s is not None:
             runtime.policy.note_warmup(target.identity, now + result.warmup_s)
@@ -143,5 +162,5 @@
             target.identity, result.report, result.is_healthy, now
         )
         if result.address_reused:
-            until = now + MISPLACED_S
+            until = now + ADDRESS_REUSED_S
             runtime.policy.note_draining(target.identity, DrainSource.REFUSAL, until)
--- a/packages/entry/src/cairnferry/entry/targets/_upstreams.py
+++ b/packages/entry/src/cairnferry/entry/targets/_upstreams.py
@@ -27,13 +27,13 @@
     exchange,
 )
 
-# Longest answer to a status check, in bytes; it has no content of interest.
+# Maximum size in bytes of an answer to a status check, whose body is not used.
 MAX_CHECK_BYTES = 65536
 _IDLE_TIMEOUT = re.compile(r"(?:^|[,\s])timeout=([0-9]{1,6})")
 
 
 class Presence(enum.StrEnum):
-    """What a look at a target showed."""
+    """Result of a presence check of a target."""
 
     SERVING = "serving"
     REFUSING = "refusing"
@@ -41,24 +41,24 @@
     SILENT = "silent"
 
 
-# Errors of a connection by which a machine says that nothing listens there.
+# Connection errors which mean that nothing listens at the address.
 _REFUSALS = frozenset(["ConnectionRefusedError", "ConnectionResetError"])
 
 
 @attrs.frozen
 class OutboundRequest:
-    """A request as it goes to any target.
+    """A request as it is sent to any target.
 
     Attributes
     ----------
     method, path : str
-        Request line.
+        Method and path of the request line.
     headers : list of (str, str)
-        Without those that differ from attempt to attempt.
+        Headers that are the same for all attempts.
     body : bytes
-        Whole body.
+        Complete body.
     head : RequestHead
-        What the headers say to the system itself.
+        Parsed headers that the daemon itself uses.
     """
 
     method: str
@@ -70,27 +70,35 @@
 
 @attrs.define
 class Upstreams:
-    """Pools of connections, one for each start of a target.
+    """Connection pools, one per start of a target.
 
     Parameters
     ----------
     connect_timeout : float
-        Seconds to open a connection.
+        Maximum seconds to open a connection.
     max_answer : int
-        Longest body of an answer, in bytes.
+        Maximum size of an answer's body in bytes.
     convention : TargetConvention, optional
-        How targets speak.
+        Header conventions of targets.
     """
 
     connect_timeout: float
     max_answer: int
     convention: TargetConvention = attrs.field(factory=DefaultTargetConvention)
     _pools: dict[tuple, ConnectionPool] = attrs.field(factory=dict)
-    _opened_before: int = 0
-    _lost_before: int = 0
+    _past_opened: int = 0
+    _past_lost: int = 0
 
     def send(self, req: OutboundRequest, attempt: Attempt) -> Outcome:
-        """Make one attempt: one exchange, never repeated here."""
+        """Make one attempt: a single exchange, which is never retried here.
+
+        Parameters
+        ----------
+        req : OutboundRequest
+            Request to send.
+        attempt : Attempt
+            Attempt, with its target.
+        """
         call = attempt.call
         pool = self._pool(attempt.target.record)
         timeout = min(self.connect_timeout, call.deadline - time.monotonic())
@@ -99,7 +107,7 @@
             late = time.monotonic() >= call.deadline
             return NotSent(Failure.TIMEOUT if late else Failure.CONNECT)
         if attempt.target.is_unavailable(time.monotonic()):
-            # It said so while the connection was opened.
+            # The target became unavailable while the connection was being opened.
             pool.release(conn)
             return NotSent(Failure.WITHDRAWN)
         payload = self._encode(req, attempt)
@@ -107,22 +115,22 @@
         outcome = exchange(
             conn, req.method, payload, call.deadline, self.max_answer, rules
         )
-        self._give_back(pool, conn, outcome)
+        self._return_to_pool(pool, conn, outcome)
         return outcome
 
     def classify(self, outcome: Outcome, attempt: Attempt) -> AttemptResult:
-        """Give what an exchange proves."""
+        """Return the result of an attempt, given the outcome of its exchange."""
         return self.convention.classify(outcome, attempt)
 
     def check(self, target: Target, timeout: float) -> CheckResult:
-        """Ask a target for its load.
+        """Check a target's status, including its load.
 
         Parameters
         ----------
         target : Target
             Record of the target.
         timeout : float
-            Seconds for the whole check.
+            Seconds for the complete check.
         """
         deadline = time.monotonic() + timeout
         pool = self._pool(target)
@@ -131,15 +139,15 @@
             return self.convention.read_check(NotSent(Failure.CONNECT), target)
         return self._check_on(conn, pool, target, deadline)
 
-    def look_at(self, target: Target, timeout: float) -> Presence:
-        """Look whether a target is there, over a new connection.
+    def check_presence(self, target: Target, timeout: float) -> Presence:
+        """Check over a new connection whether a target is present.
 
         Parameters
         ----------
         target : Target
             Record of the target.
         timeout : float
-            Seconds for the whole look.
+            Seconds for the complete check.
         """
         deadline = time.monotonic() + timeout
         pool = self._pool(target)
@@ -150,7 +158,7 @@
         found = self._check_on(conn, pool, target, deadline)
         if found.address_reused:
             return Presence.REPLACED
-        return Presence.SERVING if found.heard else Presence.SILENT
+        return Presence.SERVING if found.answered else Presence.SILENT
 
     def _check_on(
         self, conn: Connection, pool: ConnectionPool, target: Target, deadline: float
@@ -158,9 +166,9 @@
         host = f"{target.host}:{target.port}"
         payload = encode_request("GET", target.health_path, host, [], b"")
         outcome = exchange(conn, "GET", payload, deadline, MAX_CHECK_BYTES)
-        self._give_back(pool, conn, outcome)
+        self._return_to_pool(pool, conn, outcome)
         found = self.convention.read_check(outcome, target)
-        return attrs.evolve(found, heard=isinstance(outcome, Reply))
+        return attrs.evolve(found, answered=isinstance(outcome, Reply))
 
     def _pool(self, target):
         key = _pool_key(target)
@@ -169,12 +177,12 @@
             pool = self._pools[key] = ConnectionPool(target.address)
         return pool
 
-    def _give_back(self, pool, conn, outcome):
+    def _return_to_pool(self, pool, conn, outcome):
         if not isinstance(outcome, Reply) or not conn.is_open:
             return
-        told = _IDLE_TIMEOUT.search(outcome.header("keep-alive") or "")
-        if told:
-            conn.idle_limit = float(told.group(1))
+        keep_alive = _IDLE_TIMEOUT.search(outcome.header("keep-alive") or "")
+        if keep_alive:
+            conn.idle_limit = float(keep_alive.group(1))
         pool.release(conn)
 
     def _encode(self, req, attempt):
@@ -185,26 +193,31 @@
         return encode_request(req.method, req.path, host, headers, req.body)
 
     def keep_only(self, targets: Iterable[Target]) -> None:
-        """Close the connections to all other targets, and to earlier starts of these.
+        """Close connections to other targets and to earlier starts of these targets.
 
-        Those to an earlier start end with it, but a silent end shows only when a
-        request is lost on one.
+        Connections to an earlier start close when that start terminates. If it
+        terminates without closing them, a request would be lost on such a connection.
+
+        Parameters
+        ----------
+        targets : iterable of Target
+            Targets whose connections are kept.
         """
         kept = {_pool_key(target) for target in targets}
         for key in list(self._pools):
             if key not in kept:
                 pool = self._pools.pop(key)
-                self._opened_before += pool.opened
-                self._lost_before += pool.stale
+                self._past_opened += pool.opened
+                self._past_lost += pool.stale
                 pool.close()
 
     def counts(self) -> dict[str, int]:
-        """Count idle, opened and lost connections, those of targets gone by too."""
+        """Return counts of idle, opened and lost connections, past targets included."""
         pools = self._pools.values()
         return {
             "idle": sum(pool.idle for pool in pools),
-            "opened": self._opened_before + sum(pool.opened for pool in pools),
-            "lost": self._lost_before + sum(pool.stale for pool in pools),
+            "opened": self._past_opened + sum(pool.opened for pool in pools),
+            "lost": self._past_lost + sum(pool.stale for pool in pools),
         }
 
     def close(self) -> None:
--- a/packages/entry/src/cairnferry/entry/targets/_weights.py
+++ b/packages/entry/src/cairnferry/entry/targets/_weights.py
@@ -1,4 +1,4 @@
-"""Sharing the requests of a route among services by weight."""
+"""Distribute the requests of a route among services by weight."""
 
 import random
 
@@ -8,11 +8,11 @@
 
 
 @attrs.define
-class WeightedTurns:
-    """Smooth weighted turns: after few requests each part is near its weight.
+class WeightedRoundRobin:
+    """Smooth weighted round-robin: shares match the weights after a few requests.
 
-    Drawing at random would be off by a fifth after some hundred requests, and an
-    instance sees no more than that in the time for which the parts are looked at.
+    Random selection would deviate by a fifth after some hundred requests, which is all
+    that an instance gets in the time over which the shares are measured.
 
     Parameters
     ----------
@@ -21,24 +21,32 @@
     """
 
     backends: tuple[Backend, ...]
-    _due: list[float] = attrs.field(factory=list)
+    _credits: list[float] = attrs.field(factory=list)
 
     @classmethod
     def start(cls, backends: tuple[Backend, ...], rng: random.Random):
-        """Start at a random point, so that instances do not go in step."""
+        """Return a rotation with a random start, so that instances do not synchronize.
+
+        Parameters
+        ----------
+        backends : tuple of Backend
+            Services and weights.
+        rng : random.Random
+            Source of randomness.
+        """
         total = sum(backend.weight for backend in backends)
-        turns = cls(backends, [rng.random() * total for _ in backends])
-        # The debts add up to nothing, so that no part gets more than its weight.
-        mean = sum(turns._due) / len(backends)
-        turns._due = [due - mean for due in turns._due]
-        return turns
-
-    def take(self) -> str:
-        """Give the service of the next request."""
+        rotation = cls(backends, [rng.random() * total for _ in backends])
+        # The credits add up to zero, so that no service gets more than its weight.
+        mean = sum(rotation._credits) / len(backends)
+        rotation._credits = [credit - mean for credit in rotation._credits]
+        return rotation
+
+    def next_service(self) -> str:
+        """Return the service for the next request."""
         total = 0
         for index, backend in enumerate(self.backends):
-            self._due[index] += backend.weight
+            self._credits[index] += backend.weight
             total += backend.weight
-        chosen = max(range(len(self._due)), key=self._due.__getitem__)
-        self._due[chosen] -= total
+        chosen = max(range(len(self._credits)), key=self._credits.__getitem__)
+        self._credits[chosen] -= total
         return self.backends[chosen].service
--- a/tests/entry/callers/conftest.py
+++ b/tests/entry/callers/conftest.py
@@ -1,11 +1,11 @@
-"""Time for requests that end targets."""
+"""Clock for the tests of requests that crash targets."""
 
 import pytest
 
 
 @pytest.fixture
 def clock(monkeypatch):
-    """Give a clock that the test moves."""
+    """Return a clock that the test advances."""
     clock = Clock()
     for module in ("_guard", "_block_table"):
         monkeypatch.setattr(f"cairnferry.entry.callers.{module}.time", clock)
@@ -13,7 +13,7 @@
 
 
 class Clock:
-    """Stands in for the time module."""
+    """Replaces the time module."""
 
     def __init__(self):
         self.now = 100.0
--- a/tests/entry/callers/test_forward.py
+++ b/tests/entry/callers/test_forward.py
@@ -1,4 +1,4 @@
-"""Requests through the callers' listener to targets and back, in one process."""
+"""Requests through the callers' listener to targets, in one process."""
 
 import json
 import socket
@@ -14,7 +14,7 @@
 
 
 def problem(reply):
-    """Check the common form of an own answer; give outcome and cause."""
+    """Check the format of a generated answer, and return its outcome and cause."""
     document = json.loads(reply.body)
     assert reply.header("content-type") == "application/problem+json"
     assert reply.header("proxy-status").startswith("cairnferry; error=")
@@ -23,7 +23,7 @@
     return document["outcome"], document["cause"]
 
 
-def test_an_answer_comes_back_whole(start_entry, start_target, records_for):
+def test_a_complete_answer_is_relayed(start_entry, start_target, records_for):
     target = start_target(service_ms=0)
     entry = start_entry(*records_for(target))
     reply = entry.call(
@@ -36,13 +36,13 @@
 
 
 @pytest.mark.parametrize("method", METHODS)
-def test_a_target_sees_what_is_not_idempotent_once(
+def test_a_non_idempotent_request_is_sent_once(
     method, start_entry, start_target, records_for
 ):
-    """Symptom: an order that its route calls non-idempotent runs several times.
+    """Guards against a non-idempotent request that runs several times.
 
-    Events: the target reads the request and closes without an answer. Cause: the
-    HTTP client, or a retry, sends it again.
+    The target reads the request and closes the connection without an answer. The
+    failure occurs if the HTTP client or a retry sends the request again.
     """
     targets = [start_target(fault="cut-before-run") for _ in range(3)]
     route = {"idempotentMethods": []}
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("method", METHODS[:3])
-def test_a_target_sees_what_is_idempotent_as_often_as_the_budget_says(
+def test_an_idempotent_request_is_retried_within_the_budget(
     method, start_entry, start_target, records_for
 ):
     targets = [start_target(fault="cut-before-run") for _ in range(5)]
@@ -76,10 +76,8 @@
     assert len(broken.seen) <= 2
 
 
-def test_sockets_to_callers_send_small_segments_at_once(
-    start_entry, start_target, records_for
-):
-    """Symptom: each hop takes 44 ms at the median; see tests/wire."""
+def test_sockets_to_callers_have_nagle_disabled(start_entry, start_target, records_for):
+    """Guards against a median delay of 44 ms per hop; see tests/wire."""
     entry = start_entry(*records_for(start_target(service_ms=0)))
     seen = []
     original = entry.server.handler_class.read_request
@@ -97,13 +95,13 @@
 @pytest.mark.parametrize(
     "fault", ["cut-answer", "no-length", "two-answers", "oversize", "cut-after-run"]
 )
-def test_a_broken_answer_never_reaches_the_caller(
+def test_a_broken_answer_is_never_relayed(
     fault, start_entry, start_target, records_for
 ):
-    """Symptom: a storefront shows half a page, or another's.
+    """Guards against a caller that gets a partial answer or another request's answer.
 
-    Events: a target's answer is cut, has no length, runs into a second one or
-    is larger than what is held. Cause: a part would pass for the whole.
+    A target's answer is truncated, has no length, is followed by a second answer or
+    exceeds the maximum size. The failure occurs if a part counts as the whole answer.
     """
     entry = start_entry(*records_for(start_target(fault=fault, service_ms=0)))
     reply = entry.call("POST", body=b"x")
@@ -111,13 +109,13 @@
     assert entry.upstreams.counts()["idle"] == 0
 
 
-def test_an_answer_after_its_request_was_given_up_reaches_nobody(
+def test_a_late_answer_is_not_relayed_to_another_request(
     start_entry, start_target, records_for
 ):
-    """Symptom: a caller gets the answer to another's request.
+    """Guards against a caller that gets the answer to another request.
 
-    Events: a request runs into its deadline; its answer comes on the connection
-    that the next request uses. Cause: the connection was kept.
+    A request reaches its deadline, and its answer arrives later. The failure occurs if
+    the connection is kept and the next request uses it.
     """
     target = start_target(service_ms=60, spread=0)
     entry = start_entry(*records_for(target))
@@ -129,11 +127,13 @@
         assert reply.body.startswith(f"n{number} ".encode())
 
 
-def test_a_caller_that_leaves_frees_the_target(start_entry, start_target, records_for):
-    """Symptom: slots are held by work that nobody waits for.
+def test_a_disconnected_caller_releases_its_slot_at_the_target(
+    start_entry, start_target, records_for
+):
+    """Guards against slots that are occupied by abandoned requests.
 
-    Events: a caller closes while its request runs. Cause: nobody looked at the
-    caller's connection until there was an answer to write.
+    A caller closes its connection while its request runs. The failure occurs if the
+    connection is not checked until there is an answer to write.
     """
     target = start_target(service_ms=60_000)
     entry = start_entry(*records_for(target, deadline_ms=100_000))
@@ -145,9 +145,7 @@
     assert entry.metrics.causes["caller-gone"] == 1
 
 
-def test_a_caller_that_leaves_the_queue_gives_its_place_back(
-    start_entry, start_target, records_for
-):
+def test_a_disconnected_caller_leaves_the_queue(start_entry, start_target, records_for):
     target = start_target(slots=1, service_ms=60_000)
     entry = start_entry(*records_for(target, deadline_ms=100_000))
     calls = [gevent.spawn(entry.call) for _ in range(3)]
@@ -156,7 +154,7 @@
     wait_for(lambda: entry.policy().waiting == 0 and entry.policy().in_flight == 0)
 
 
-def test_a_late_answer_is_hedged_and_the_loser_cut(
+def test_a_slow_request_is_hedged_and_the_slower_attempt_cancelled(
     start_entry, start_target, records_for
 ):
     targets = [start_target(service_ms=2, spread=0) for _ in range(4)]
@@ -170,7 +168,7 @@
     assert entry.policy().in_flight == 0
 
 
-def test_the_deadline_goes_on_less_what_was_used(start_entry, records_for):
+def test_the_remaining_time_is_forwarded_as_the_deadline(start_entry, records_for):
     seen = Event()
     heads = []
 
@@ -196,7 +194,7 @@
 
 
 @pytest.mark.parametrize("value", ["0", "-1", "x", "1.5", "99999999999", "²"])
-def test_a_deadline_that_cannot_be_read_is_refused(
+def test_a_malformed_deadline_is_rejected(
     value, start_entry, start_target, records_for
 ):
     target = start_target()
@@ -206,7 +204,7 @@
     assert target.seen == []
 
 
-def test_what_was_not_run_is_told_so_with_a_time_to_come_back(
+def test_a_refused_request_is_answered_not_run_with_retry_after(
     start_entry, start_target, records_for
 ):
     target = start_target(draining=True, refuse_draining=True)
@@ -217,13 +215,13 @@
     assert target.runs == []
 
 
-def test_a_refusal_without_the_contract_counts_as_run(
+def test_a_refusal_outside_the_contract_counts_as_run(
     start_entry, start_target, records_for
 ):
-    """Symptom: a caller is told "not run" for a request that ran.
+    """Guards against an answer "not run" for a request that ran.
 
-    Events: a target answers 503 after it ran a request. Cause: the status alone
-    was taken for a refusal.
+    A target answers 503 after it ran a request. The failure occurs if the status alone
+    counts as a refusal.
     """
     target = start_target(draining=True, refuse_draining=True, shed_by_contract=False)
     other = start_target(service_ms=0)
@@ -233,7 +231,7 @@
     assert len(other.runs) + target.refusals == 10
 
 
-def test_head_and_empty_answers_keep_the_connection_in_step(
+def test_head_and_empty_answers_do_not_desynchronize_the_connection(
     start_entry, start_target, records_for
 ):
     entry = start_entry(*records_for(start_target(service_ms=0)))
@@ -243,7 +241,7 @@
     assert answer.count(b" GET /s ") == 1
 
 
-def test_an_unknown_path_and_an_empty_configuration_have_their_errors(
+def test_an_unknown_path_and_an_empty_configuration_return_errors(
     start_entry, start_target, records_for
 ):
     entry = start_entry(*records_for(start_target()))
@@ -252,14 +250,14 @@
     assert problem(start_entry().call()) == ("not-run", "not-ready")
 
 
-def test_a_whole_reply_is_what_a_caller_gets_from_a_closing_listener(
+def test_a_closing_listener_completes_running_requests(
     start_entry, start_target, records_for
 ):
-    """Symptom: requests in flight are cut when a daemon stops.
+    """Guards against requests in flight that are cut when a daemon stops.
 
-    Events: a daemon is told to stop while a request runs. Cause: connections
-    were closed without looking at what goes on in them. The limit is beyond
-    the test's own, so that an idle connection that stays open fails it.
+    A daemon is stopped while a request runs. The failure occurs if connections are
+    closed regardless of running requests. The time limit exceeds that of the test, so
+    that an idle connection which stays open fails the test.
     """
     target = start_target(service_ms=100)
     entry = start_entry(*records_for(target))
--- a/tests/entry/callers/test_startup_retry.py
+++ b/tests/entry/callers/test_startup_retry.py
@@ -1,31 +1,31 @@
-"""Callers of daemons that know no rules yet."""
+"""Retry-After of daemons that have no rules yet."""
 
 import pytest
 
 from cairnferry.entry.callers._startup_retry import StartupRetry
 
 
-def starting(ready=False):
+def startup_retry(ready=False):
     return StartupRetry(100.0, lambda: ready)
 
 
 @pytest.mark.parametrize("elapsed", [0.15, 0.3, 0.45, 2.0, 60.0])
-def test_with_others_ready_a_caller_goes_to_one_of_them_at_once(elapsed):
-    assert starting(ready=True).retry_after(100.0 + elapsed) == 0.05
+def test_callers_retry_at_once_if_other_daemons_are_ready(elapsed):
+    assert startup_retry(ready=True).retry_after(100.0 + elapsed) == 0.05
 
 
-def test_at_first_others_are_taken_for_ready():
-    assert starting().retry_after(100.01) == 0.05
+def test_other_daemons_are_assumed_ready_at_first():
+    assert startup_retry().retry_after(100.01) == 0.05
 
 
 @pytest.mark.parametrize("takes", [0.4, 0.6, 0.9])
-def test_while_all_start_most_come_back_when_that_is_over(takes):
-    """Guards against callers that use up their tries before any daemon has rules."""
+def test_while_all_daemons_start_many_callers_retry_after_the_start(takes):
+    """Guards against callers that use up their retries before any daemon has rules."""
     moments = [takes * n / 100 for n in range(100)]
-    back = [at + starting().retry_after(100.0 + at) for at in moments]
+    back = [at + startup_retry().retry_after(100.0 + at) for at in moments]
     assert sum(at >= takes for at in back) >= 40
     assert max(back) <= takes + 0.5
 
 
-def test_a_long_start_is_asked_about_now_and_then():
-    assert starting().retry_after(130.0) == 0.5
+def test_the_retry_delay_is_bounded_during_a_long_start():
+    assert startup_retry().retry_after(130.0) == 0.5
--- a/tests/entry/changelog/test_configuration.py
+++ b/tests/entry/changelog/test_configuration.py
@@ -1,4 +1,4 @@
-"""What is in force at a daemon goes forwards only."""
+"""The revision in effect at a daemon never decreases."""
 
 import random
 
@@ -39,18 +39,18 @@
     return configuration, seen
 
 
-def test_rows_apply_in_order_once_and_schema_version_is_no_age():
+def test_rows_apply_once_in_order_regardless_of_schema_version():
     configuration, seen = make_configuration(*ROWS, *ROWS)
     assert seen == [1, 2, 3]
     (record,) = configuration.records.of_kind("service")
     assert record.deadline_ms == 3000
 
 
-def test_a_late_row_or_snapshot_brings_nothing_back():
-    """Symptom: an old configuration is in force again.
+def test_a_late_row_or_snapshot_restores_no_old_revision():
+    """Guards against an old configuration that takes effect again.
 
-    Events: a peer that lags, or a late answer, offers an older revision. Cause:
-    what came last was taken for the latest.
+    A lagging peer or a late answer offers an older revision. The failure occurs if the
+    revision that arrived last counts as the latest one.
     """
     configuration, seen = make_configuration(*ROWS)
     old, _ = make_configuration(ROWS[0])
@@ -60,13 +60,13 @@
     assert seen == [1, 2, 3]
 
 
-def test_a_gap_is_not_jumped():
+def test_a_row_after_a_gap_is_not_applied():
     configuration, _ = make_configuration(ROWS[0])
     assert configuration.apply(ROWS[2]) == Error(Gap(1, 3))
     assert configuration.revision == 1
 
 
-def test_an_unknown_schema_version_keeps_what_is_in_force():
+def test_an_unknown_schema_version_keeps_the_records_in_effect():
     configuration, _ = make_configuration(ROWS[0])
     strange = row(2, service_v1("b") | {"schema": 3})
     error = configuration.apply(strange).error
@@ -79,7 +79,7 @@
     assert configuration.behind is None
 
 
-def test_rows_that_are_no_longer_kept_are_not_offered_in_part():
+def test_rows_are_not_offered_if_some_are_no_longer_kept():
     configuration, _ = make_configuration(*ROWS)
     assert configuration.rows_from(2) == ROWS[1:]
     behind, _ = make_configuration()
@@ -108,14 +108,14 @@
     return ChangeLogSync(None, None, configuration, cluster, random.Random(1))
 
 
-def test_a_peer_gives_the_missing_rows():
+def test_missing_rows_are_fetched_from_a_peer():
     ahead, _ = make_configuration(*ROWS)
     configuration, seen = make_configuration(ROWS[0])
     make_distribution(configuration).pull_from(FakePeer(ahead), 3)
     assert seen == [1, 2, 3]
 
 
-def test_a_peer_without_the_rows_gives_its_snapshot():
+def test_a_snapshot_is_fetched_from_a_peer_without_the_rows():
     ahead, _ = make_configuration(*ROWS)
     later = Configuration(lambda records: None)
     later.install_snapshot(ahead.records.to_snapshot())
@@ -124,18 +124,18 @@
     assert configuration.records == ahead.records
 
 
-def test_a_peer_that_lags_changes_nothing():
+def test_a_lagging_peer_changes_nothing():
     behind, _ = make_configuration(ROWS[0])
     configuration, seen = make_configuration(*ROWS[:2])
     make_distribution(configuration).pull_from(FakePeer(behind), 9)
     assert seen == [1, 2]
 
 
-def test_a_row_that_cannot_be_applied_ends_the_reading():
-    """Symptom: a daemon reads the table without end and serves nothing new.
+def test_reading_stops_at_a_row_that_cannot_be_applied():
+    """Guards against a daemon that reads the table in an endless loop.
 
-    Events: a newer release wrote a schema that this one does not know. Cause:
-    the head was never reached, so that the reading began again.
+    A newer release writes a schema version that this release does not support. The
+    failure occurs if reading restarts because the head is never reached.
     """
     configuration, _ = make_configuration(ROWS[0])
     distribution = make_distribution(configuration)
--- a/tests/entry/targets/test_limit_header.py
+++ b/tests/entry/targets/test_limit_header.py
@@ -1,4 +1,4 @@
-"""What is read as a limit in a target's answer, and what is not."""
+"""Parsing of the limit header in targets' answers."""
 
 import time
 from types import SimpleNamespace
@@ -14,7 +14,7 @@
 from cairnferry.entry.telemetry import Metrics
 from cairnferry.policy import TargetLimits
 from cairnferry.wire import Failure, Incomplete, Reply
-from hosting._targets import HostedTargets
+from hosting._targets import HostedTargetConvention
 
 NAMES = frozenset(["server-limit"])
 PROOF = ("Cairnferry-Response-Signature", "by-i-1")
@@ -36,14 +36,14 @@
         (["8, 2.5"], 2.5),
     ],
 )
-def test_a_decimal_is_a_limit_and_of_several_the_lowest_one(values, found):
+def test_a_decimal_is_a_limit_and_the_lowest_of_several_applies(values, found):
     assert read(*values) == found
 
 
 @pytest.mark.parametrize(
     "text", ["", "many", "-1", "nan", "inf", "1e3", "+2", "2.", "٣", "0x10", "1;2"]
 )
-def test_anything_else_is_a_fault_that_neither_sets_nor_lifts_one(text):
+def test_any_other_value_is_malformed_and_hides_valid_values(text):
     assert isinstance(read(text), LimitFault)
     assert isinstance(read("2.6", text), LimitFault)
 
@@ -55,28 +55,32 @@
         (200, [PROOF, ("Server-Limit", "3")], 3.0, True),
         (200, [PROOF], None, True),
         (500, [PROOF], None, True),
-        # A refusal is made before the request is looked at, and need not tell.
+        # A refusal is sent before the request is processed and may lack the header.
         (503, [("Cairnferry-Not-Executed", "1")], None, False),
         (503, [("Cairnferry-Not-Executed", "1"), LIMIT], 2.6, False),
-        # Not signed: not its own answer, or one that came from somewhere before it.
+        # Unsigned: not the target's own answer, but possibly one of an intermediary.
         (502, [], None, False),
-        # Another target's answer.
+        # Answer of another target.
         (421, [LIMIT], None, False),
     ],
 )
-def test_whose_answers_name_limits_and_whose_deny_them(status, headers, named, denies):
+def test_which_answers_advertise_a_limit_and_which_deny_one(
+    status, headers, named, denies
+):
     reply = Reply(status, headers, b"")
-    assert HostedTargets().limit_of(reply) == named
-    assert HostedTargets().denies_limit(reply) == denies
+    assert HostedTargetConvention().limit_of(reply) == named
+    assert HostedTargetConvention().denies_limit(reply) == denies
 
 
-@pytest.mark.parametrize("convention", [HostedTargets(), DefaultTargetConvention()])
-def test_no_answer_says_nothing(convention):
+@pytest.mark.parametrize(
+    "convention", [HostedTargetConvention(), DefaultTargetConvention()]
+)
+def test_an_incomplete_answer_neither_advertises_nor_denies_a_limit(convention):
     assert convention.limit_of(Incomplete(Failure.RESET)) is None
     assert not convention.denies_limit(Incomplete(Failure.RESET))
 
 
-def test_on_the_own_interface_a_refusal_names_limits_and_denies_none():
+def test_default_convention_refusals_do_not_deny_limits():
     convention = DefaultTargetConvention()
     assert convention.limit_of(Reply(200, [("Server-Limit", "4")], b"")) == 4.0
     assert convention.denies_limit(Reply(200, [], b""))
@@ -98,5 +102,5 @@
     limiter.note_check("i-1", 4.0, time.monotonic())
     target = SimpleNamespace(identity="i-1", name="i-1")
     attempt = SimpleNamespace(target=target, started=time.monotonic())
-    limiter.note_outcome(attempt, reply, HostedTargets())
+    limiter.note_outcome(attempt, reply, HostedTargetConvention())
     assert limiter.limits.advertised.rate("i-1") == rate
--- a/tests/entry/targets/test_permits.py
+++ b/tests/entry/targets/test_permits.py
@@ -1,4 +1,4 @@
-"""Asking for permits, and giving them, between daemons."""
+"""Requesting and issuing permits between daemons."""
 
 import random
 from types import SimpleNamespace
@@ -14,7 +14,7 @@
     Services,
 )
 from cairnferry.entry.telemetry import Metrics
-from cairnferry.peers import LimitState, PeerCallFailed, PermitsWanted
+from cairnferry.peers import LimitState, PeerCallFailed, PermitQuery
 from cairnferry.policy import NO_LIMIT, AdvertisedLimit, Call, settings_for
 from cairnferry.records import Lifecycle, Service, Target
 
@@ -27,57 +27,57 @@
 
 @pytest.fixture
 def clock(monkeypatch):
-    """Give a clock that stands until it is set."""
+    """Return a clock that stands still until it is set."""
     clock = SimpleNamespace(now=100.0)
     monkeypatch.setattr("time.monotonic", lambda: clock.now)
     return clock
 
 
 @attrs.define
-class Givers:
-    """One giver for all targets; `part` is what is in its view."""
+class Issuers:
+    """One issuer for all targets, which may issue `share` of their limits."""
 
     name: str = "giver"
-    mine: bool = True
-    part: float = 1.0
-    doubted: list = attrs.field(factory=list)
+    is_mine: bool = True
+    share: float = 1.0
+    unresponsive: list = attrs.field(factory=list)
 
     def issuer_for(self, target, zone):
         return PermitIssuer(self.name, "hall", f"{self.name}:1")
 
     def is_issuer(self, target, zone):
-        return self.mine
+        return self.is_mine
 
     def visible_share(self, zone):
-        return self.part
+        return self.share
 
     def mark_unresponsive(self, name):
-        self.doubted.append(name)
+        self.unresponsive.append(name)
 
 
 class Link:
-    """Brings what is asked to a giver; may lose the answer."""
+    """Connection to an issuer that can lose the answer."""
 
     def __init__(self, issuer):
         self.issuer = issuer
-        self.asked = []
+        self.requests = []
         self.lost = False
 
-    def to(self, address, is_far):
+    def link_to(self, address, is_cross_zone):
         return self
 
-    def ask_permits(self, asker, wanted):
-        self.asked.append(wanted)
-        given = self.issuer.issue(asker, list(wanted))
+    def request_permits(self, requester, requested):
+        self.requests.append(requested)
+        granted = self.issuer.issue(requester, list(requested))
         if self.lost:
             raise PeerCallFailed("giver:1", "timeout")
-        return given
+        return granted
 
 
 class Daemon:
-    """One that asks, with two targets and their limits."""
+    """A daemon that requests permits for two targets."""
 
-    def __init__(self, name, link, givers):
+    def __init__(self, name, link, issuers):
         self.services = Services(
             "hall", random.Random(1), lambda policy: None, settings_for("ask-first")
         )
@@ -85,17 +85,17 @@
         self.services.install_targets(TARGETS)
         self.policy = self.services.runtime("s").policy
         self.limiter = Limiter(self.services.limits, Metrics())
-        self.asking = PermitRequester(
-            name, self.services, self.limiter, givers, link.issuer, link
+        self.requester = PermitRequester(
+            name, self.services, self.limiter, issuers, link.issuer, link
         )
 
     def arrive(self, count, now):
         for _ in range(count):
             self.policy.arrive(Call(now, now + 1, True), now)
 
-    def ask(self):
-        self.asking.one_round()
-        self.asking._calls.join()
+    def request_permits(self):
+        self.requester.one_round()
+        self.requester._calls.join()
 
     def held(self):
         return [self.limiter.limits.held(target.identity) for target in TARGETS]
@@ -104,7 +104,7 @@
 @pytest.fixture
 def issuer():
     limiter = Limiter(Services("hall", random.Random(2), None).limits, Metrics())
-    return LocalPermitIssuer(limiter, Givers(), random.Random(3))
+    return LocalPermitIssuer(limiter, Issuers(), random.Random(3))
 
 
 @pytest.fixture
@@ -114,111 +114,105 @@
 
 @pytest.fixture
 def daemon(link, clock):
-    daemon = Daemon("d", link, Givers())
+    daemon = Daemon("d", link, Issuers())
     daemon.limiter.note_check("i-0", 4.0, 99.0)
     return daemon
 
 
-def wanted(target, per_s=4.0, age=0.1, count=1, returned=0):
-    return PermitsWanted(LimitState(target, per_s, age), "hall", count, returned)
+def requested(target, per_s=4.0, age=0.1, count=1, returned=0):
+    return PermitQuery(LimitState(target, per_s, age), "hall", count, returned)
 
 
-def test_nothing_is_asked_without_requests(daemon, link):
-    daemon.ask()
-    assert link.asked == []
+def test_no_permits_are_requested_without_requests(daemon, link):
+    daemon.request_permits()
+    assert link.requests == []
 
 
-def test_permits_come_ahead_of_requests_and_are_not_asked_for_twice(
-    daemon, link, clock
-):
+def test_permits_are_requested_once_and_in_advance(daemon, link, clock):
     daemon.arrive(2, clock.now)
-    daemon.ask()
-    daemon.ask()
-    assert len(link.asked) == 1
-    # After the hold: the one that gave them before may have been another one.
+    daemon.request_permits()
+    daemon.request_permits()
+    assert len(link.requests) == 1
+    # The permit is valid only later, as another issuer may have issued some before.
     assert daemon.held() == [1, 0]
     assert not daemon.limiter.limits.admits("i-0", clock.now)
     clock.now += 0.5
     assert daemon.limiter.limits.admits("i-0", clock.now)
 
 
-def test_the_one_that_gives_permits_learns_the_limit_by_the_question(
+def test_the_issuer_learns_the_limit_from_the_request_for_permits(
     daemon, issuer, clock
 ):
     daemon.arrive(2, clock.now)
-    daemon.ask()
+    daemon.request_permits()
     assert issuer.limiter.limits.advertised.rate("i-0") == 4.0
 
 
-def test_the_question_brings_the_end_of_a_limit_to_the_one_that_asks(
+def test_the_requester_learns_from_the_answer_that_a_limit_was_lifted(
     daemon, issuer, clock
 ):
-    issuer.limiter.learn("i-0", AdvertisedLimit(NO_LIMIT, clock.now + 0.1), by="test")
+    issuer.limiter.merge("i-0", AdvertisedLimit(NO_LIMIT, clock.now + 0.1), by="test")
     daemon.arrive(2, clock.now)
-    daemon.ask()
+    daemon.request_permits()
     assert not daemon.limiter.limits
     assert daemon.held() == [0, 0]
 
 
-def test_one_that_is_not_the_giver_gives_nothing(issuer, clock):
-    issuer.givers.mine = False
-    (given,) = issuer.issue("d", [wanted("i-0")])
-    assert given.delays == ()
-    assert given.retry_s > 0
+def test_a_daemon_that_is_not_the_issuer_grants_no_permits(issuer, clock):
+    issuer.issuers.is_mine = False
+    (granted,) = issuer.issue("d", [requested("i-0")])
+    assert granted.delays == ()
+    assert granted.retry_s > 0
 
 
-def test_a_question_without_an_answer_is_put_to_another_one_a_little_later(
-    daemon, link, clock
-):
+def test_a_request_without_an_answer_is_retried_after_a_delay(daemon, link, clock):
     link.lost = True
     daemon.arrive(2, clock.now)
-    daemon.ask()
-    daemon.ask()
-    assert len(link.asked) == 1
-    assert daemon.asking.givers.doubted == ["giver"]
+    daemon.request_permits()
+    daemon.request_permits()
+    assert len(link.requests) == 1
+    assert daemon.requester.issuers.unresponsive == ["giver"]
     assert daemon.held() == [0, 0]
     clock.now += 0.3
-    daemon.ask()
-    assert len(link.asked) == 2
+    daemon.request_permits()
+    assert len(link.requests) == 2
 
 
-def test_permits_that_were_not_used_come_back_with_the_next_question(
-    daemon, link, clock
-):
+def test_unused_permits_are_returned_with_the_next_request(daemon, link, clock):
     daemon.arrive(1, clock.now)
-    daemon.ask()
+    daemon.request_permits()
     clock.now += 2.0
     daemon.arrive(1, clock.now)
-    daemon.ask()
-    ((first,), (second,)) = link.asked
+    daemon.request_permits()
+    ((first,), (second,)) = link.requests
     assert first.returned == 0
     assert second.returned == 1
 
 
-def test_what_is_in_view_of_a_part_is_all_that_it_gives(issuer, clock):
-    issuer.givers.part = 0.25
-    issuer.issue("d", [wanted("i-0")])
+def test_an_issuer_grants_no_more_than_its_visible_share(issuer, clock):
+    issuer.issuers.share = 0.25
+    issuer.issue("d", [requested("i-0")])
     clock.now += 2.0
     starts = []
     for _ in range(200):
         clock.now += 0.05
-        (given,) = issuer.issue("d", [wanted("i-0", count=8)])
-        starts += [clock.now + delay for delay in given.delays]
+        (granted,) = issuer.issue("d", [requested("i-0", count=8)])
+        starts += [clock.now + delay for delay in granted.delays]
     assert len(starts) <= 10.0 * 4.0 * 0.25 + 2
 
 
-def test_a_limit_that_holds_is_told_again_and_again_but_seldom(issuer, clock):
-    told = []
-    issuer.limiter.tell = lambda note, again: told.append(again)
+def test_a_limit_in_effect_is_announced_again_at_long_intervals(issuer, clock):
+    announced = []
+    issuer.limiter.broadcast = lambda note, again: announced.append(again)
     for _ in range(120):
         clock.now += 0.1
-        issuer.issue("d", [wanted("i-0")])
-    assert told == [True, True]
+        issuer.issue("d", [requested("i-0")])
+    assert announced == [True, True]
 
 
-def test_targets_that_nobody_asks_about_are_forgotten(issuer, clock):
-    issuer.issue("d", [wanted("i-0")])
+def test_schedules_without_requests_are_dropped(issuer, clock):
+    issuer.issue("d", [requested("i-0")])
     issuer.drop_unused(clock.now + 10.0)
-    assert len(issuer._given) == 1
+    assert len(issuer._schedules) == 1
     issuer.drop_unused(clock.now + 60.0)
-    assert len(issuer._given) == 0
+    assert len(issuer._schedules) == 0
--- a/tests/entry/targets/test_runtime.py
+++ b/tests/entry/targets/test_runtime.py
@@ -1,4 +1,4 @@
-"""A policy at work for many callers."""
+"""Runtime of a policy with concurrent callers."""
 
 import random
 import time
@@ -11,11 +11,11 @@
 from cairnferry.records import Lifecycle, Service, Target
 
 
-def test_a_place_given_to_a_caller_that_leaves_is_given_back():
-    """Symptom: a slot stays in use for ever, and the daemon grows slower.
+def test_a_slot_granted_to_a_caller_that_disconnects_is_released():
+    """Guards against a slot that stays in use permanently and slows the daemon down.
 
-    Events: a place is given to a waiting request; its caller leaves before its
-    task has run again. Cause: the task had dropped the decision unread.
+    A waiting request is granted a slot, and its caller disconnects before its task runs
+    again. The failure occurs if the task drops the decision unread.
     """
     policy = ServicePolicy(Service("s", 9000, 0.1, True, 8), "z", random.Random(1))
     target = Target("t", "s", "z", "10.0.0.1", 80, 1, Lifecycle.ACTIVE, "/h", None)
--- a/tests/entry/targets/test_status_checks.py
+++ b/tests/entry/targets/test_status_checks.py
@@ -1,4 +1,4 @@
-"""Status checks right before a request is placed."""
+"""Status checks immediately before a request is placed."""
 
 import random
 import socket
@@ -21,12 +21,12 @@
     Target(f"t{i}", "s", "z", "10.0.0.1", 80, 4, Lifecycle.ACTIVE, "/", None)
     for i in range(3)
 )
-WELL = CheckResult(LoadReport(1), True)
-stall = monkey.get_original("time", "sleep")
+HEALTHY = CheckResult(LoadReport(1), True)
+blocking_sleep = monkey.get_original("time", "sleep")
 
 
 class Upstreams:
-    """Answers a check when its socket is readable; counts checks."""
+    """Answers a check when its socket becomes readable, and records checks."""
 
     def __init__(self):
         self.pairs = {target.name: socket.socketpair() for target in TARGETS}
@@ -40,7 +40,7 @@
         ours, _ = self.pairs[target.name]
         wait_read(ours.fileno())
         ours.recv(1)
-        return WELL
+        return HEALTHY
 
 
 @pytest.fixture
@@ -60,39 +60,41 @@
     return StatusChecks(upstreams, Metrics())
 
 
-def told(runtime):
+def conditions(runtime):
     return [
         (event.target, str(event.condition)) for event in runtime.policy.take_events()
     ]
 
 
-def test_a_process_that_was_held_up_does_not_call_its_targets_silent(
+def test_targets_do_not_count_as_silent_after_the_process_was_stalled(
     checks, upstreams, runtime
 ):
-    """Symptom: several targets fall silent at one moment on a calm day.
+    """Guards against healthy targets that count as silent after a stall.
 
-    Events: the process gets no processor for longer than it waits for answers; these
-    arrive meanwhile. Cause: the end of the wait is seen before the answers.
+    The process gets no CPU time for longer than it waits for answers, and the answers
+    arrive meanwhile. The failure occurs if the timeout is processed before them.
     """
-    asking = gevent.spawn(checks.ask, TARGETS, runtime)
+    running = gevent.spawn(checks.check_all, TARGETS, runtime)
     while len(upstreams.checks) < len(TARGETS):
         gevent.sleep(0)
     for target in TARGETS:
         upstreams.answer(target.name)
-    stall(2 * _status_checks.ANSWER_WAIT_S)
-    asking.get()
-    assert told(runtime) == []
+    blocking_sleep(2 * _status_checks.ANSWER_WAIT_S)
+    running.get()
+    assert conditions(runtime) == []
 
 
-def test_a_target_that_does_not_answer_is_told(checks, upstreams, runtime):
+def test_a_target_that_does_not_answer_is_reported_as_silent(
+    checks, upstreams, runtime
+):
     upstreams.answer("t0")
     upstreams.answer("t2")
-    checks.ask(TARGETS, runtime)
-    assert told(runtime) == [("t1", "silent")]
+    checks.check_all(TARGETS, runtime)
+    assert conditions(runtime) == [("t1", "silent")]
 
 
-def test_requests_of_one_moment_share_a_check(checks, upstreams, runtime):
-    tasks = [gevent.spawn(checks.ask, TARGETS, runtime) for _ in range(3)]
+def test_concurrent_requests_share_a_check(checks, upstreams, runtime):
+    tasks = [gevent.spawn(checks.check_all, TARGETS, runtime) for _ in range(3)]
     while len(upstreams.checks) < len(TARGETS):
         gevent.sleep(0)
     for target in TARGETS:
@@ -101,16 +103,16 @@
     assert len(upstreams.checks) == len(TARGETS)
 
 
-def test_checks_keep_to_the_budget_of_all_instances(upstreams, runtime):
-    """Symptom: targets spend their time on answering checks at the busiest hour."""
+def test_checks_stay_within_the_budget_shared_by_all_instances(upstreams, runtime):
+    """Guards against targets that spend their time on status checks at peak load."""
     checks = StatusChecks(upstreams, Metrics(), rate=1.0)
     checks.set_instances(instances=2, targets=len(TARGETS))
     allowed = int(
-        _status_checks.BUDGET_SHARE * len(TARGETS) / 2 * _status_checks.BURST_S
+        _status_checks.BUDGET_SHARE * len(TARGETS) / 2 * _status_checks.BUDGET_BURST_S
     )
     for _ in range(10):
         for target in TARGETS:
             upstreams.answer(target.name)
-        checks.ask(TARGETS, runtime)
+        checks.check_all(TARGETS, runtime)
     assert len(upstreams.checks) == allowed
     assert checks.metrics.probes["over-budget"] == 30 - allowed
--- a/tests/entry/targets/test_weights.py
+++ b/tests/entry/targets/test_weights.py
@@ -1,4 +1,4 @@
-"""Shares of services in a route's requests."""
+"""Distribution of a route's requests among services."""
 
 import collections
 import random
@@ -6,7 +6,7 @@
 from hypothesis import given
 from hypothesis import strategies as st
 
-from cairnferry.entry.targets._weights import WeightedTurns
+from cairnferry.entry.targets._weights import WeightedRoundRobin
 from cairnferry.records import Backend
 
 
@@ -15,10 +15,10 @@
     st.integers(0, 2**32),
     st.integers(1, 300),
 )
-def test_each_part_stays_within_a_request_or_two_of_its_weight(weights, seed, requests):
+def test_the_share_of_each_service_matches_its_weight(weights, seed, requests):
     backends = tuple(Backend(f"s{i}", weight) for i, weight in enumerate(weights))
-    turns = WeightedTurns.start(backends, random.Random(seed))
-    taken = collections.Counter(turns.take() for _ in range(requests))
+    rotation = WeightedRoundRobin.start(backends, random.Random(seed))
+    taken = collections.Counter(rotation.next_service() for _ in range(requests))
     for backend in backends:
         due = requests * backend.weight / sum(weights)
         assert abs(taken[backend.service] - due) <= len(weights) + 1
