--- a/packages/entry/src/cairnferry/entry/core/__init__.py
+++ b/packages/entry/src/cairnferry/entry/core/__init__.py
@@ -1,4 +1,4 @@
-"""What every daemon consists of, whatever platform it runs on."""
+"""Core of the daemon, which does not depend on the platform."""
 
 from cairnferry.entry.core._core import Core
 from cairnferry.entry.core._core_settings import (
--- a/packages/entry/src/cairnferry/entry/core/_core.py
+++ b/packages/entry/src/cairnferry/entry/core/_core.py
@@ -1,4 +1,4 @@
-"""What every daemon consists of, whatever platform it runs on: its parts and life."""
+"""Parts and life cycle of the daemon that do not depend on the platform."""
 
 import logging
 import random
@@ -16,13 +16,13 @@
     CrashGuard,
     Forwarder,
     StartupRetry,
-    quarantine_board,
+    quarantine_note_registry,
 )
 from cairnferry.entry.core._core_settings import Conventions, CoreSettings
 from cairnferry.entry.core._state_view import StateView
-from cairnferry.entry.http import HttpServer, Limits, PipelinedServer
+from cairnferry.entry.http import HttpServer, ListenerLimits, PipelinedServer
 from cairnferry.entry.members import (
-    NO_STORE,
+    STORE_UNREACHABLE,
     Cluster,
     Gossip,
     PermitIssuers,
@@ -39,20 +39,22 @@
     Services,
     StatusChecks,
     Upstreams,
-    limit_board,
+    limit_note_registry,
 )
-from cairnferry.entry.telemetry import FaultyRows, Metrics
+from cairnferry.entry.telemetry import FaultyRowLog, Metrics
 from cairnferry.peers import ByteMeter, KeyRing, PeerLinks, PeerServer, SharedKey
 from cairnferry.policy import DrainSource
 from cairnferry.settings import Address
 
-# Seconds between two looks at how many instances there are: the shares are wrong for
-# that long after some were lost or came, in sum by the part of those.
+# Seconds between two updates of this instance's share of common budgets. After
+# instances are lost or added, the sum of all shares is wrong for this time, in
+# proportion to their number.
 SHARE_UPDATE_S = 1.0
-# Seconds for a call to a peer; zones are some milliseconds apart, a busy one is late.
+# Timeout of a call to a peer in seconds. Zones are some milliseconds apart, but a busy
+# peer answers late.
 PEER_TIMEOUT_S = 0.8
-# Seconds after which a task that failed unforeseen begins again: one that fails at once
-# each time fills neither the processor nor the log.
+# Seconds before a task is restarted after an unexpected error, so that a task that
+# fails at each start fills neither the CPU nor the log.
 TASK_RETRY_S = 1.0
 
 log = logging.getLogger(__name__)
@@ -66,9 +68,9 @@
     cfg : CoreSettings
         Checked settings.
     conventions : Conventions
-        How callers and targets are spoken to.
+        Protocols of callers and targets.
     keys : KeyRing or SharedKey
-        What peers prove themselves by.
+        Keys by which peers authenticate.
     """
 
     def __init__(
@@ -77,12 +79,12 @@
         self.cfg = cfg
         self.rng = random.Random(cfg.seed or time.time_ns())
         self.metrics = Metrics()
-        self.faulty_rows = FaultyRows(self.metrics)
-        self.services = Services(cfg.zone, self.rng, self._tell_known, cfg.policy)
+        self.faulty_rows = FaultyRowLog(self.metrics)
+        self.services = Services(cfg.zone, self.rng, self._apply_notes, cfg.policy)
         self.upstreams = Upstreams(
             cfg.connect_s, cfg.max_answer_bytes, conventions.targets
         )
-        self.limiter = Limiter(self.services.limits, self.metrics, self._tell_limit)
+        self.limiter = Limiter(self.services.limits, self.metrics, self._spread_limit)
         self.advisory_recorder = AdvisoryRecorder(
             self.metrics, self.services.advisories
         )
@@ -93,7 +95,9 @@
             self.limiter,
             self.advisory_recorder,
         )
-        self.guard = CrashGuard(self.metrics, self._accuse, self._is_first_for)
+        self.guard = CrashGuard(
+            self.metrics, self._spread_suspicion, self._is_responsible_for
+        )
         self.crash_detector = CrashDetector(
             self.upstreams, self.metrics, self.guard.note_crash
         )
@@ -112,14 +116,14 @@
     # -- parts ------------------------------------------------------------------
 
     def build_cluster(self, records: Records, configuration) -> None:
-        """Make the parts that speak to peers.
+        """Build the parts that communicate with peers.
 
         Parameters
         ----------
         records : Records
-            Where revisions come from.
+            Source of revisions.
         configuration : Configuration or Records
-            Tells the revision in force.
+            Reports the revision in force.
         """
         cfg = self.cfg
         membership = new_membership(
@@ -127,9 +131,9 @@
         )
         self.cluster = Cluster(membership, configuration, self.notes, self._spare)
         self.cluster.tables = records.tables
-        self.cluster.on_listed = self.share_out
-        self.cluster.suspicions = quarantine_board(self.guard.receive)
-        self.cluster.limits = limit_board(self.limiter.receive)
+        self.cluster.on_listed = self.update_shares
+        self.cluster.suspicions = quarantine_note_registry(self.guard.receive)
+        self.cluster.limits = limit_note_registry(self.limiter.receive)
         self.watcher_role = WatcherRole(self.cluster)
         links = PeerLinks(self.keys, self.peer_meter, PEER_TIMEOUT_S)
         self.gossip = Gossip(
@@ -140,28 +144,28 @@
             cfg.peers.fanout,
             cfg.peers.seeds,
         )
-        self._share_limits(links)
+        self._build_permits(links)
         self.peer_server = PeerServer(
             cfg.peers.listen.as_tuple(), self.gossip, self.keys, self.peer_meter
         )
         self.steering = Steering(self.cluster, cfg.zone, cfg.answer_ttl_s, cfg.shard)
 
-    def _share_limits(self, links):
-        """Make the parts that ask for permits and give them."""
-        givers = PermitIssuers(self.cluster)
-        issuer = LocalPermitIssuer(self.limiter, givers, self.rng)
+    def _build_permits(self, links):
+        """Build the parts that request and issue permits."""
+        issuers = PermitIssuers(self.cluster)
+        issuer = LocalPermitIssuer(self.limiter, issuers, self.rng)
         self.gossip.permits = issuer.issue
         self.permits = PermitRequester(
-            self.cfg.name, self.services, self.limiter, givers, issuer, links
+            self.cfg.name, self.services, self.limiter, issuers, issuer, links
         )
 
     def listen_for_callers(self, serve_steering: bool) -> HttpServer:
-        """Make the callers' listener.
+        """Build the callers' listener.
 
         Parameters
         ----------
-        steer_on_it : bool
-            Whether it also says which entry instances to use.
+        serve_steering : bool
+            Whether the listener also serves steering answers.
         """
         cfg = self.cfg
         app = CallersApp(
@@ -178,7 +182,7 @@
             self.metrics,
             cfg.bodies,
             self.conventions.callers,
-            StartupRetry(time.monotonic(), self.cluster.others_have_rules),
+            StartupRetry(time.monotonic(), self.cluster.any_peer_has_rules),
         )
         self.callers_app = app
         address = cfg.callers.as_tuple()
@@ -198,21 +202,31 @@
         )
         return self.callers_server
 
-    def listen(self, address: Address, app, limits: Limits) -> HttpServer:
-        """Make a further listener, which lives as long as the daemon."""
+    def listen(self, address: Address, app, limits: ListenerLimits) -> HttpServer:
+        """Build a further listener, which runs for the daemon's lifetime.
+
+        Parameters
+        ----------
+        address : Address
+            Address to listen on.
+        app : callable
+            WSGI application.
+        limits : ListenerLimits
+            Limits of its connections.
+        """
         server = HttpServer(address.as_tuple(), app, limits)
         self._listeners.append(server)
         return server
 
-    # -- life -------------------------------------------------------------------
+    # -- life cycle -------------------------------------------------------------
 
     def run(self, tasks: list[Callable[[], None]]) -> int:
-        """Serve until told to leave; give the exit code.
+        """Serve until the daemon leaves; return the exit code.
 
         Parameters
         ----------
         tasks : list of callable
-            Run beside the core's own ones as long as the daemon does.
+            Functions to run for the daemon's lifetime, in addition to the core's own.
         """
         gevent.signal_handler(signal.SIGTERM, self.leave)
         gevent.signal_handler(signal.SIGINT, self.leave)
@@ -222,9 +236,9 @@
         return self.run_to_end()
 
     def run_to_end(self) -> int:
-        """Wait until told to leave, leave, and give the exit code."""
+        """Wait for the signal to leave, drain, and return the exit code."""
         self._leaving.wait()
-        return self._finish()
+        return self._drain()
 
     def start(self, tasks: list[Callable[[], None]]) -> None:
         """Start the listeners and the tasks."""
@@ -233,7 +247,7 @@
             server.start()
         for task in (
             self.gossip.run,
-            self._keep_house,
+            self._update_shares_forever,
             self.guard.maintain,
             self.permits.run,
             *tasks,
@@ -242,7 +256,7 @@
         log.info("serving", extra={"callers": str(self.cfg.callers)})
 
     def stop(self) -> None:
-        """End everything at once."""
+        """Stop all tasks, listeners and connections at once."""
         gevent.killall(self._tasks)
         for server in self._listeners:
             server.stop(timeout=0)
@@ -250,14 +264,14 @@
         self.upstreams.close()
 
     def spawn(self, function: Callable[[], None]) -> None:
-        """Run a task as long as the daemon does."""
-        self._tasks.append(gevent.spawn(self._guard, function))
+        """Run a function in a greenlet for the daemon's lifetime."""
+        self._tasks.append(gevent.spawn(self._run_forever, function))
 
-    def _guard(self, function):
-        """Run a task for ever; an unforeseen error is logged and it goes on.
+    def _run_forever(self, function):
+        """Run a task; after an unexpected error, log it and restart the task.
 
-        A task that died unseen would leave a daemon that serves and looks well,
-        but learns of no change any more.
+        Without the task, the daemon would still serve and seem healthy, but might not
+        receive changes any more.
         """
         while True:
             try:
@@ -268,27 +282,27 @@
                 log.exception("task failed", extra={"task": name})
                 gevent.sleep(TASK_RETRY_S)
 
-    def _keep_house(self):
+    def _update_shares_forever(self):
         while True:
-            self.share_out()
+            self.update_shares()
             gevent.sleep(SHARE_UPDATE_S)
 
-    def share_out(self) -> None:
-        """Work out this instance's part of what all share."""
+    def update_shares(self) -> None:
+        """Update this instance's shares of the budgets common to all instances."""
         self.instances = self.cluster.count_instances()
         targets = self.services.targets()
         self.checks.set_instances(self.instances, len(targets))
         self.limiter.forget_unlisted(targets)
         self.advisory_recorder.maintain(targets)
         for runtime in self.services.active().values():
-            runtime.policy.set_instances(self.instances, self._place())
+            runtime.policy.set_instances(self.instances, self._relative_rank())
 
-    def _tell_limit(self, note: Note, again: bool):
+    def _spread_limit(self, note: Note, again: bool):
         if self.cluster.post_limit(note, again) or again:
             self.gossip.trigger_round()
 
-    def _place(self):
-        """Give where this instance stands among those of its zone; None if leaving."""
+    def _relative_rank(self):
+        """Return the rank in the zone as a fraction, 0 to 1; None while leaving."""
         membership = self.cluster.membership
         names = membership.own_zone_names()
         if membership.me.name not in names:
@@ -297,26 +311,26 @@
 
     @property
     def is_ready(self) -> bool:
-        """Whether callers may be sent here: rules are known, and it stays."""
+        """Whether callers may be sent here: it has rules and is not leaving."""
         return bool(self.services.revision) and not self._leaving.is_set()
 
     def leave(self) -> None:
-        """Begin to leave; a second call does nothing."""
+        """Start to leave; further calls have no effect."""
         self._leaving.set()
 
-    def _finish(self):
-        """Leave without cutting a request.
+    def _drain(self):
+        """Leave without interrupting a request; return the exit code.
 
-        Callers keep a steering answer for its time to live. So this daemon
-        serves on for that time after it dropped out of the answers.
+        Callers cache a steering answer for its time to live. So this daemon continues
+        to serve for that time after the answers have stopped listing it.
         """
         log.info("leaving")
         self.cluster.membership.leave()
         self.gossip.trigger_round()
-        self.callers_server.announce_end()
-        for farewell in self.leave_hooks:
-            # None of them may hold up the end; it comes whether they are done or not.
-            self.spawn(farewell)
+        self.callers_server.start_closing()
+        for hook in self.leave_hooks:
+            # They run concurrently, so that none of them delays the end.
+            self.spawn(hook)
         gevent.sleep(self.cfg.leaving.serve_s)
         whole = self.callers_server.finish(self.cfg.leaving.limit_s)
         for server in self._listeners:
@@ -326,25 +340,25 @@
         log.info("left", extra={"every_request_answered": whole})
         return 0 if whole else 1
 
-    def limit_callers(self, limits: CallerLimits) -> None:
-        """Put limits of callers in force."""
+    def apply_caller_limits(self, limits: CallerLimits) -> None:
+        """Put the limits of callers in force."""
         connections = self.cfg.caller_limits
         connections.head_s = limits.head_s
         connections.idle_s = limits.idle_s
         connections.head_bytes = limits.head_bytes
         self.cfg.bodies.size = limits.body_bytes
 
-    # -- what happens -----------------------------------------------------------
+    # -- events -----------------------------------------------------------------
 
     def evacuate(self, zones: frozenset[str], version: int) -> None:
-        """Send no more requests to the targets of some availability zones.
+        """Stop sending requests to the targets of evacuated availability zones.
 
         Parameters
         ----------
         zones : frozenset of str
-            All zones that are evacuated.
+            All evacuated zones.
         version : int
-            Version of the record or row that says so, for the log.
+            Version of the record or row that evacuates them, for the log.
         """
         before = self.services.evacuated
         if zones == before:
@@ -360,27 +374,27 @@
             log.warning("no target in an evacuated zone", extra={"zones": unknown})
 
     def _note_draining(self, identity, source, until):
-        if source == NO_STORE:
-            # Of a daemon, not of a target; the duty to watch looks it up.
+        if source == STORE_UNREACHABLE:
+            # The note is on a daemon, not on a target; `WatcherRole` reads it.
             return
         for runtime in self.services.active().values():
             runtime.policy.note_draining(identity, DrainSource(source), until)
 
-    def _tell_known(self, policy):
+    def _apply_notes(self, policy):
         now = time.monotonic()
-        policy.set_instances(self.instances, self._place())
+        policy.set_instances(self.instances, self._relative_rank())
         for note in self.notes.active_notes(now):
-            if note.source == NO_STORE:
+            if note.source == STORE_UNREACHABLE:
                 continue
             source = DrainSource(note.source)
             policy.note_draining(note.subject, source, now + note.remaining)
 
-    def _accuse(self, note: Note, again: bool):
+    def _spread_suspicion(self, note: Note, again: bool):
         if self.cluster.post_suspicion(note, again) or again:
             self.gossip.trigger_round()
 
-    def _is_first_for(self, content):
-        """Tell whether this daemon acts for its zone on what concerns a request."""
+    def _is_responsible_for(self, content):
+        """Return whether this daemon acts for its zone on a request's block."""
         names = self.cluster.membership.own_zone_names()
         return lowest_ranked(content, names, 1) == [self.cfg.name]
 
--- a/packages/entry/src/cairnferry/entry/core/_core_settings.py
+++ b/packages/entry/src/cairnferry/entry/core/_core_settings.py
@@ -1,11 +1,11 @@
-"""Settings and conventions that a daemon's core is built from."""
+"""Settings and protocols of the daemon's core."""
 
 import math
 
 import attrs
 
 from cairnferry.entry.callers import BodyLimits
-from cairnferry.entry.http import Limits
+from cairnferry.entry.http import ListenerLimits
 from cairnferry.entry.targets import (
     CallerConvention,
     DefaultCallerConvention,
@@ -18,14 +18,15 @@
 
 @attrs.frozen
 class LeavingTimes:
-    """How long a daemon that leaves goes on.
+    """Durations of the phases in which a daemon leaves.
 
     Attributes
     ----------
     serve_s : float
-        Seconds for which it takes new requests: callers still hold old answers.
+        Seconds for which it still accepts new requests, as callers have cached old
+        steering answers.
     limit_s : float
-        Further seconds for requests in progress to end.
+        Further seconds for requests in progress to finish.
     """
 
     serve_s: float
@@ -34,22 +35,22 @@
 
 @attrs.frozen
 class PeerSettings:
-    """How a daemon speaks to others.
+    """Settings of the communication with other daemons.
 
     Attributes
     ----------
     listen : Address
-        Where it listens.
+        Address on which the daemon listens for peers.
     advertise : str
-        "IP:port" at which others reach it.
+        "IP:port" at which other daemons reach it.
     interval_s : float
         Seconds between two rounds of heartbeats.
     fanout : int
         Peers called in a round.
     seeds : tuple of str
-        Addresses to try at the start.
+        Addresses of peers to call at the start.
     link_bytes_per_s : float
-        Rate of the instance's link; infinite if it is not known.
+        Rate of the instance's link in bytes per second; infinite if unknown.
     """
 
     listen: Address
@@ -69,38 +70,38 @@
     name, zone : str
         Name and availability zone of this instance.
     callers : Address
-        Where callers connect.
-    caller_limits : Limits
-        Limits of their connections.
-    page_limits : Limits
+        Address on which the daemon listens for callers.
+    caller_limits : ListenerLimits
+        Limits of callers' connections.
+    page_limits : ListenerLimits
         Limits of connections to the pages for the platform and operators.
     bodies : BodyLimits
-        Limits of their requests' bodies.
+        Limits of the bodies of callers' requests.
     answer_ttl_s : float
-        Seconds for which callers keep a steering answer.
+        Seconds for which callers cache a steering answer.
     shard : int
-        Entry instances for one service; 0 for all.
+        Number of entry instances for one service; 0 for all.
     peers : PeerSettings
-        How to speak to other daemons.
+        Settings of the communication with other daemons.
     connect_s : float
-        Seconds to open a connection to a target.
+        Timeout in seconds to open a connection to a target.
     max_answer_bytes : int
-        Longest body of a target's answer.
+        Maximum size in bytes of the body of a target's response.
     policy : PolicySettings
-        Constants of the decisions.
+        Constants of the load balancing policy.
     checks_per_s : float
-        Status checks a second and target, over all instances; 0 for no limit.
+        Status checks per second and target, over all instances; 0 for no limit.
     leaving : LeavingTimes
-        How long a daemon that leaves goes on.
+        Durations of the phases in which the daemon leaves.
     seed : int or None
-        Seed of the random choices.
+        Seed of the random number generator; None to use the time.
     """
 
     name: str
     zone: str
     callers: Address
-    caller_limits: Limits
-    page_limits: Limits
+    caller_limits: ListenerLimits
+    page_limits: ListenerLimits
     bodies: BodyLimits
     answer_ttl_s: float
     shard: int
@@ -115,7 +116,15 @@
 
 @attrs.frozen
 class Conventions:
-    """How callers and targets are spoken to."""
+    """Protocols of callers and targets.
+
+    Attributes
+    ----------
+    callers : CallerConvention
+        Protocol of callers.
+    targets : TargetConvention
+        Protocol of targets.
+    """
 
     callers: CallerConvention = attrs.field(factory=DefaultCallerConvention)
     targets: TargetConvention = attrs.field(factory=DefaultTargetConvention)
--- a/packages/entry/src/cairnferry/entry/core/_ephemeral.py
+++ b/packages/entry/src/cairnferry/entry/core/_ephemeral.py
@@ -1,4 +1,4 @@
-"""Settings of a daemon on an instance that keeps nothing and may vanish at any time."""
+"""Settings of a daemon on an ephemeral instance, without persistent state."""
 
 from cairnferry.entry.callers import BodyLimits
 from cairnferry.entry.core._core_settings import (
@@ -6,36 +6,40 @@
     LeavingTimes,
     PeerSettings,
 )
-from cairnferry.entry.http import Limits
+from cairnferry.entry.http import ListenerLimits
 from cairnferry.policy import settings_for
 from cairnferry.settings import Address
 
-# Seconds for which callers keep a steering answer: as long as that a daemon that
-# died goes on to be tried. Some keep an answer three times as long.
+# Seconds for which callers cache a steering answer. Callers continue to try a lost
+# daemon for this time.
 ANSWER_TTL_S = 1.0
-STALE_ANSWERS = 3
-# Seconds that are kept free before the process is killed.
+# Multiple of that time for which some callers use an answer.
+STALE_ANSWER_FACTOR = 3
+# Seconds between the end of the drain and the time at which the process is killed.
 STOP_MARGIN_S = 0.6
+# Minimum seconds for requests in progress to finish.
 MIN_FINISH_S = 0.5
-# Limits of callers until the rules tell other ones: seconds for a head and between
-# requests, bytes of a body.
+# Limits of callers until the rules set others: seconds for a request's head to arrive,
+# seconds between two requests, and bytes of a body.
 HEAD_S = 3.0
 IDLE_S = 15.0
 BODY_BYTES = 1 << 20
-# Seconds for a request's body to arrive; longer than any caller waits for its answer.
+# Seconds for a request's body to arrive; longer than any caller waits for its response.
 BODY_S = 10.0
-# Descriptors that are left for targets, peers and the platform, and least for callers.
+# File descriptors reserved for targets, peers and the platform.
 OTHER_FILES = 1200
+# Minimum limit of callers' connections.
 MIN_CALLERS = 64
-# Connections to the pages for the platform, and to the directory.
+# Maximum connections to the pages for the platform, and to the directory.
 PAGE_CONNECTIONS = 1000
-# Seconds between two rounds of heartbeats, and peers called in each: with 2, each
-# is called by two others in a round, on the mean, however many there are.
+# Seconds between two rounds of heartbeats, and peers called in each. With 2, each
+# daemon is called by two others per round on average, regardless of their number.
 HEARTBEAT_S = 0.5
 FANOUT = 2
-# Seconds to open a connection to a target, which takes some milliseconds unless it is
-# gone, and the longest body of its answers, which is held whole.
+# Timeout in seconds to open a connection to a target; it takes some milliseconds unless
+# the target is lost.
 CONNECT_S = 1.0
+# Maximum size in bytes of a target's response body, which is held in memory.
 MAX_ANSWER_BYTES = 16 * 1024 * 1024
 
 
@@ -51,34 +55,34 @@
     checks_per_s: float,
     link_bytes_per_s: float,
 ) -> CoreSettings:
-    """Give the settings of a daemon from what its platform tells.
+    """Return the settings of a daemon, derived from those of its platform.
 
     Parameters
     ----------
     name, zone : str
         Name and availability zone of the instance.
     callers, peers : Address
-        Where callers and other daemons connect.
+        Addresses on which the daemon listens for callers and for other daemons.
     max_ttl_s : float
-        Longest time in seconds for which callers may keep a steering answer.
+        Longest time in seconds for which callers may cache a steering answer.
     stop_s : float
-        Seconds from the request to stop to the kill.
+        Seconds from the request to stop until the process is killed.
     max_files : int
-        Descriptors of the process.
+        Maximum number of file descriptors of the process.
     checks_per_s : float
-        Status checks a second and target, over all instances.
+        Status checks per second and target, over all instances.
     link_bytes_per_s : float
-        Rate of the instance's link; infinite if it is not known.
+        Rate of the instance's link in bytes per second; infinite if unknown.
     """
     ttl = min(ANSWER_TTL_S, max_ttl_s)
-    serve_s = STALE_ANSWERS * ttl
+    serve_s = STALE_ANSWER_FACTOR * ttl
     callers_limit = max(MIN_CALLERS, max_files - OTHER_FILES)
     return CoreSettings(
         name=name,
         zone=zone,
         callers=callers,
-        caller_limits=Limits(callers_limit, IDLE_S, HEAD_S),
-        page_limits=Limits(PAGE_CONNECTIONS, IDLE_S, HEAD_S),
+        caller_limits=ListenerLimits(callers_limit, IDLE_S, HEAD_S),
+        page_limits=ListenerLimits(PAGE_CONNECTIONS, IDLE_S, HEAD_S),
         bodies=BodyLimits(BODY_BYTES, BODY_S),
         answer_ttl_s=ttl,
         shard=0,
--- a/packages/entry/src/cairnferry/entry/core/_settings_watch.py
+++ b/packages/entry/src/cairnferry/entry/core/_settings_watch.py
@@ -1,4 +1,4 @@
-"""Taking in settings that change while the daemon runs."""
+"""Reload of settings that change while the daemon runs."""
 
 import logging
 from collections.abc import Callable
@@ -7,46 +7,52 @@
 from expression import Result
 from gevent.event import Event
 
-# Seconds between two looks at the file, which may change without a signal.
-LOOK_S = 2.0
+# Seconds between two checks of the file, which may change without a signal.
+POLL_S = 2.0
 
 log = logging.getLogger(__name__)
 
 
 @attrs.define
 class SettingsWatch:
-    """Reads a settings file again when told to, and now and then.
+    """Reloads a settings file on request and when it has changed.
 
     Parameters
     ----------
     path : str
-        The file.
+        Path of the file.
     read : callable
-        Reads its text; gives the settings, or every fault found.
+        Parses the text of the file; returns the settings, or all faults in them.
     apply : callable
         Puts settings in force.
-    told : Event
-        Set when the file is said to have changed.
+    reload_requested : Event
+        Set to request a reload.
     text : str
-        What is in force.
+        Text of the settings in force.
     """
 
     path: str
     read: Callable[[str], Result[object, list]]
     apply: Callable[[object], None]
-    told: Event
+    reload_requested: Event
     text: str
 
     def run(self) -> None:
-        """Look for ever."""
+        """Check the file forever, periodically and on request."""
         while True:
-            self.told.wait(LOOK_S)
-            was_told = self.told.is_set()
-            self.told.clear()
-            self.look(was_told)
+            self.reload_requested.wait(POLL_S)
+            is_requested = self.reload_requested.is_set()
+            self.reload_requested.clear()
+            self.check(is_requested)
 
-    def look(self, was_told: bool) -> None:
-        """Look once; settings that cannot be read change nothing."""
+    def check(self, is_requested: bool) -> None:
+        """Check the file once; settings that cannot be read have no effect.
+
+        Parameters
+        ----------
+        is_requested : bool
+            Whether the reload was requested, so that an unchanged file is logged too.
+        """
         try:
             with open(self.path, encoding="utf-8") as file:
                 text = file.read()
@@ -54,7 +60,7 @@
             log.error("settings kept", extra={"path": self.path, "why": str(exc)})
             return
         if text == self.text:
-            if was_told:
+            if is_requested:
                 log.info("reload", extra={"changed": []})
             return
         settings = self.read(text)
--- a/packages/entry/src/cairnferry/entry/core/_state_view.py
+++ b/packages/entry/src/cairnferry/entry/core/_state_view.py
@@ -1,4 +1,4 @@
-"""What a daemon shows of itself: status, dump and metrics."""
+"""Status, dump and metrics of a daemon."""
 
 import json
 import logging
@@ -23,7 +23,7 @@
     Parameters
     ----------
     cluster, gossip : Cluster, Gossip
-        The other daemons.
+        View of the other daemons, and exchange with them.
     callers : PipelinedServer
         The callers' listener.
     upstreams, services : Upstreams, Services
@@ -33,11 +33,11 @@
     metrics : Metrics
         Counters and histograms.
     guard : CrashGuard
-        Requests that are kept from targets.
+        Requests that are blocked because they crash targets.
     limiter : Limiter
-        Limits that targets name.
-    listener : AdvisoryRecorder
-        What targets said of themselves.
+        Limits that targets have set for themselves.
+    advisory_recorder : AdvisoryRecorder
+        Advisories of targets.
     """
 
     cluster: Cluster
@@ -52,7 +52,7 @@
     advisory_recorder: AdvisoryRecorder
 
     def status(self) -> dict:
-        """Give this daemon's view of all daemons."""
+        """Return this daemon's view of all daemons."""
         cluster = self.cluster
         me = cluster.membership.me
         behind = cluster.configuration.behind
@@ -67,7 +67,7 @@
         }
 
     def dump(self) -> dict:
-        """Give this daemon's whole state."""
+        """Return the complete state of this daemon."""
         now = time.monotonic()
         meter = self.peer_meter
         return {
@@ -86,7 +86,7 @@
                 "rounds": self.gossip.rounds,
             },
             "called_bytes": {
-                " ".join(key): count for key, count in sorted(meter.called.items())
+                " ".join(key): count for key, count in sorted(meter.call_bytes.items())
             },
             "services": {
                 name: runtime.policy.snapshot(now)
@@ -100,10 +100,10 @@
         }
 
     def metrics_page(self, url: str) -> Page:
-        """Give the metrics as text."""
+        """Return the page of metrics as text."""
         text = render_metrics(self.dump())
         return Page("200 OK", text.encode(), TEXT)
 
     def log_dump(self) -> None:
-        """Write the state into the log."""
+        """Write the state to the log."""
         log.info("dump", extra={"dump": json.loads(json.dumps(self.dump()))})
--- a/packages/entry/src/cairnferry/entry/daemon/__init__.py
+++ b/packages/entry/src/cairnferry/entry/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon on its own interface: the parts put together."""
+"""The daemon for the project's own platform interface, built from its parts."""
 
 from cairnferry.entry.daemon._daemon import Daemon
 
--- a/packages/entry/src/cairnferry/entry/daemon/_blocked.py
+++ b/packages/entry/src/cairnferry/entry/daemon/_blocked.py
@@ -1,4 +1,4 @@
-"""Blocked requests in the platform's table: one row, as there are few of them."""
+"""Blocked requests, stored in one row of the platform's table as they are few."""
 
 import json
 import logging
@@ -16,7 +16,7 @@
 
 @attrs.frozen
 class _Content:
-    """The row's version, 0 if it is not there, and the blocks that it holds."""
+    """Version of the table's row, 0 if it does not exist, and the blocks in it."""
 
     version: int
     rows: dict[str, Row]
@@ -24,10 +24,10 @@
 
 @attrs.frozen
 class TableBlocks:
-    """Rows of blocked requests, all within one row of the table.
+    """Rows of blocked requests, all of them inside one row of the table.
 
-    A whole row is written under the condition that nobody wrote it meanwhile, so that
-    of several daemons that change a block one does.
+    Each write replaces the table's row on condition that it is unchanged, so that only
+    one of several concurrent writers succeeds.
 
     Parameters
     ----------
@@ -38,20 +38,30 @@
     table: Table
 
     def read(self) -> Result[dict[str, Row], FeedFault]:
-        """Give all rows by name."""
+        """Return all rows, by name."""
         return self._read().map(lambda content: content.rows)
 
     def write(
         self, name: str, data: bytes | None, version: int
     ) -> Result[None, FeedFault]:
-        """Write or remove a row if it still has the version."""
+        """Write or remove a row if it still has the version.
+
+        Parameters
+        ----------
+        name : str
+            Name of the row.
+        data : bytes or None
+            Content of the row; None to remove it.
+        version : int
+            Expected version of the row; 0 if it must not exist.
+        """
         read = self._read()
         if read.is_error():
             return read
         content = read.ok
         known = content.rows.get(name)
         if (known.version if known else 0) != version:
-            return Error(FeedUnavailable("a row was written meanwhile"))
+            return Error(FeedUnavailable("the row has another version"))
         rows = {key: row for key, row in content.rows.items() if key != name}
         if data is not None:
             rows[name] = Row(name, data, content.version + 1)
@@ -78,7 +88,10 @@
             for name, (version, text) in document.items()
         }
     except (ValueError, TypeError, AttributeError) as exc:
-        # Of another release; what is written next replaces it.
-        log.warning("blocked requests", extra={"why": f"{type(exc).__name__}: {exc}"})
+        # Another release wrote the row; the next write replaces it.
+        log.warning(
+            "blocked requests cannot be read",
+            extra={"why": f"{type(exc).__name__}: {exc}"},
+        )
         rows = {}
     return _Content(item.version, rows)
--- a/packages/entry/src/cairnferry/entry/daemon/_daemon.py
+++ b/packages/entry/src/cairnferry/entry/daemon/_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon on its own interface: change log, object store, operators' listener."""
+"""The daemon for the own platform interface: change log, objects and operators."""
 
 import json
 import logging
@@ -27,7 +27,7 @@
 )
 from cairnferry.entry.daemon._blocked import TableBlocks
 from cairnferry.entry.daemon._listing import LeavingTargets, ListedRegistry
-from cairnferry.entry.http import Limits
+from cairnferry.entry.http import ListenerLimits
 from cairnferry.entry.members import Enrolment
 from cairnferry.entry.operators import OperatorsApp, Submissions, TokenFile
 from cairnferry.entry.targets import HealthProber
@@ -38,21 +38,28 @@
 from cairnferry.settings import Settings
 from cairnferry.wire import Client
 
+# Maximum connections of operators.
 OPERATOR_CONNECTIONS = 64
+# Multiple of the poll interval of the head at which the list of instances is polled.
 LIST_POLL_FACTOR = 2
+# Seconds between two attempts to read the platform at the start.
 START_RETRY_S = 0.2
+# Pause in seconds before a write is retried, multiplied by the number of the attempt.
 WRITE_PAUSE_S = 0.03
+# Seconds between two rounds of probes.
 HOUSEKEEPING_S = 0.1
+# Rounds of probes between two updates of the targets that this daemon probes.
 SHARE_OUT_ROUNDS = 10
-# Seconds between two readings of the blocked requests, if there are any; else they are
-# read at the start alone, and others tell of new ones. A trial may be that much late.
+# Seconds between two reads of the blocked requests while there are any. Otherwise they
+# are read at the start only, and other daemons report new ones. A trial of a blocked
+# request may be late by this time.
 BLOCKED_POLL_S = 10.0
 
 log = logging.getLogger(__name__)
 
 
 class Daemon:
-    """Everything that runs in one process.
+    """The daemon's parts, which all run in one process.
 
     Parameters
     ----------
@@ -80,7 +87,7 @@
         self.distribution.cluster = core.cluster
         leaving = LeavingTargets(core.cluster, core.gossip, core.services)
         self.enrolment = Enrolment(
-            ListedRegistry(self.instances, leaving.note),
+            ListedRegistry(self.instances, leaving.report),
             EntryRow(
                 core.cfg.name,
                 core.cfg.zone,
@@ -145,27 +152,27 @@
         limits = self.core.cfg.page_limits
         self.operators_server = self.core.listen(address, operators, limits)
 
-    # -- life -------------------------------------------------------------------
+    # -- life cycle -------------------------------------------------------------
 
     def run(self) -> int:
-        """Serve until told to leave; give the exit code."""
-        gevent.signal_handler(signal.SIGUSR1, self._print_dump)
+        """Serve until the daemon leaves; return the exit code."""
+        gevent.signal_handler(signal.SIGUSR1, self._log_dump)
         tasks = [
             self._acquire_configuration,
             self.submissions.run,
             self._poll_head,
-            self._poll_list,
+            self._poll_instances,
             self._poll_blocked,
             self._probe,
         ]
         return self.core.run(tasks)
 
     def _acquire_configuration(self):
-        """Get a first configuration: from the platform, else from peers."""
+        """Get a first configuration from the platform or from peers."""
         while self.configuration.revision == 0:
             if self.distribution.refresh().is_ok():
                 return
-            # With the platform down, heartbeats bring it from a peer.
+            # While the platform is unreachable, it comes from a peer after a heartbeat.
             gevent.sleep(START_RETRY_S)
 
     def _poll_head(self):
@@ -180,7 +187,7 @@
                 self.core.gossip.trigger_round()
             self.distribution.save_snapshot()
 
-    def _poll_list(self):
+    def _poll_instances(self):
         interval = self._cfg.get("platform", "poll_s") * LIST_POLL_FACTOR
         self.enrolment.refresh()
         while True:
@@ -189,7 +196,7 @@
                 self.enrolment.refresh()
 
     def _poll_blocked(self):
-        """Learn of requests that were blocked before this daemon started."""
+        """Read the requests that were blocked before this daemon started."""
         guard = self.core.guard
         is_known = False
         while True:
@@ -210,7 +217,7 @@
             rounds += 1
             gevent.sleep(HOUSEKEEPING_S)
 
-    # -- what happens -----------------------------------------------------------
+    # -- events -----------------------------------------------------------------
 
     def _install(self, records):
         services = self.core.services
@@ -224,10 +231,10 @@
         gevent.sleep(WRITE_PAUSE_S * attempt * (0.5 + self.core.rng.random()))
         return True
 
-    # -- what is shown ----------------------------------------------------------
+    # -- state ------------------------------------------------------------------
 
     def dump(self) -> dict:
-        """Give this daemon's state, as plain values without secrets."""
+        """Return this daemon's state, as plain values without secrets."""
         document = self.core.state_view.dump()
         document["connections"]["operators"] = self.operators_server.connections
         return document | {
@@ -240,7 +247,7 @@
             },
         }
 
-    def _print_dump(self):
+    def _log_dump(self):
         log.info("dump", extra={"dump": json.loads(json.dumps(self.dump()))})
 
 
@@ -253,8 +260,10 @@
         name=cfg.get("instance", "name"),
         zone=cfg.get("instance", "zone"),
         callers=cfg.get("callers", "listen"),
-        caller_limits=Limits(cfg.get("callers", "max_connections"), idle_s, head_s),
-        page_limits=Limits(OPERATOR_CONNECTIONS, idle_s, head_s),
+        caller_limits=ListenerLimits(
+            cfg.get("callers", "max_connections"), idle_s, head_s
+        ),
+        page_limits=ListenerLimits(OPERATOR_CONNECTIONS, idle_s, head_s),
         bodies=BodyLimits(
             cfg.get("callers", "max_body_bytes"), cfg.get("callers", "body_s")
         ),
--- a/packages/entry/src/cairnferry/entry/daemon/_listing.py
+++ b/packages/entry/src/cairnferry/entry/daemon/_listing.py
@@ -1,4 +1,4 @@
-"""The platform's list of instances as a registry, and its word on targets."""
+"""The platform's list of instances as a registry, and its leaving targets."""
 
 from collections.abc import Callable, Collection
 
@@ -8,11 +8,11 @@
 from cairnferry.cloudapi import InstanceList
 from cairnferry.coordination import Note
 from cairnferry.entry._ports import (
-    Enrolled,
     EntryRow,
     FeedFault,
     FeedUnavailable,
     KeyExists,
+    RegistryContents,
 )
 from cairnferry.entry.members import Cluster, Gossip
 from cairnferry.entry.targets import Services
@@ -20,26 +20,27 @@
 
 ENTRY_ROLE = "entry"
 TARGET_ROLE = "target"
+# Seconds for which a note on a leaving target is valid.
 PLATFORM_NOTE_S = 15.0
 
 
 @attrs.define
 class ListedRegistry:
-    """Registry that the platform itself keeps: its list of instances, which lags.
+    """Registry that the platform maintains: its list of instances, which lags behind.
 
-    The platform enters each instance that it starts and drops those it took away, so
-    that writing and removing do nothing. The daemons' key is in a file.
+    The platform adds each instance that it starts and removes each one that it stops,
+    so that writes and removals do nothing here. The daemons' key is in a file.
 
     Parameters
     ----------
     instances : InstanceList
-        The list.
-    note_targets : callable
-        Called with the addresses of the targets that are leaving, at each reading.
+        Client of the list.
+    on_leaving_targets : callable
+        Called with the addresses of all leaving targets, at each read of the list.
     """
 
     instances: InstanceList
-    note_targets: Callable[[set[str]], None]
+    on_leaving_targets: Callable[[set[str]], None]
 
     def write(self, me: EntryRow) -> Result[None, FeedFault]:
         """Do nothing: the platform lists this instance."""
@@ -48,7 +49,7 @@
     def write_first(
         self, me: EntryRow, key: bytes
     ) -> Result[None, FeedFault | KeyExists]:
-        """Refuse the key: there is one in a file."""
+        """Return `KeyExists`: the daemons' key is in a file."""
         return Error(KeyExists())
 
     def restore_key(self, key: bytes) -> Result[None, FeedFault]:
@@ -59,13 +60,13 @@
         """Do nothing: the platform lists these instances."""
         return Ok(None)
 
-    def read(self) -> Result[Enrolled, FeedFault]:
-        """Give the entry instances of the list."""
+    def read(self) -> Result[RegistryContents, FeedFault]:
+        """Return the entry instances of the list."""
         fetched = self.instances.fetch()
         if fetched.is_error():
             return Error(FeedUnavailable(fetched.error.reason))
         listed = fetched.ok
-        self.note_targets(
+        self.on_leaving_targets(
             {i.address for i in listed if i.role == TARGET_ROLE and i.leaving}
         )
         entries = (
@@ -73,23 +74,23 @@
             for i in listed
             if i.role == ENTRY_ROLE
         )
-        return Ok(Enrolled(None, tuple(entries)))
+        return Ok(RegistryContents(None, tuple(entries)))
 
     def remove(self, names: Collection[str]) -> Result[None, FeedFault]:
-        """Do nothing: the platform drops what it took away."""
+        """Do nothing: the platform removes the instances that it stopped."""
         return Ok(None)
 
 
 @attrs.define
 class LeavingTargets:
-    """Tells all daemons of targets that the platform calls leaving.
+    """Reports targets that the platform lists as leaving to all daemons.
 
     Parameters
     ----------
     cluster : Cluster
-        This daemon's view.
+        View of the daemons, whose notes it extends.
     gossip : Gossip
-        Spreads the news.
+        Spreads the notes.
     services : Services
         The targets in force.
     """
@@ -98,8 +99,8 @@
     gossip: Gossip
     services: Services
 
-    def note(self, addresses: set[str]) -> None:
-        """Take in the addresses of targets that are leaving."""
+    def report(self, addresses: set[str]) -> None:
+        """Post notes on leaving targets, given their addresses as "host:port"."""
         for target in self.services.targets():
             if f"{target.host}:{target.port}" in addresses:
                 source = str(DrainSource.PLATFORM)
--- a/packages/entry/src/cairnferry/entry/following/__init__.py
+++ b/packages/entry/src/cairnferry/entry/following/__init__.py
@@ -1,4 +1,4 @@
-"""Records in force where the platform keeps them in tables that are followed."""
+"""Records from platform tables whose changes the daemon follows."""
 
 from cairnferry.entry.following._followed import FollowedRecords
 from cairnferry.entry.following._handover import HANDOVER_PATH, HandoverClient
--- a/packages/entry/src/cairnferry/entry/following/_evacuations.py
+++ b/packages/entry/src/cairnferry/entry/following/_evacuations.py
@@ -1,4 +1,4 @@
-"""Availability zones that operators evacuate, by rows beside the rules."""
+"""Evacuation of availability zones by rows in the table of the rules."""
 
 from collections.abc import Callable
 
@@ -6,27 +6,27 @@
 
 from cairnferry.coordination import Row, version_of
 
-# What the table of such rows is called among daemons.
+# Name of the table of evacuations in messages between daemons.
 EVACUATIONS = "evacuations"
 
 
 @attrs.frozen
 class Evacuations:
-    """Brings the evacuated zones into force.
+    """Puts the evacuated zones in force.
 
     Parameters
     ----------
     zone_of : callable
-        Gives the zone that a row evacuates, by its key; None if it is none of these.
+        Returns the zone that a row evacuates, given the row's key; None for other rows.
     install : callable
-        Called with all evacuated zones, and the version of the newest of their rows.
+        Called with all evacuated zones and the version of the newest of their rows.
     """
 
     zone_of: Callable[[str], str | None]
     install: Callable[[frozenset[str], int], None]
 
     def apply_rows(self, rows: dict[str, Row]) -> None:
-        """Take in all rows, by key."""
+        """Apply all rows, by key."""
         versions = {self.zone_of(key): row.version for key, row in rows.items()}
         versions.pop(None, None)
         newest = version_of(max(versions.values(), default=0))
--- a/packages/entry/src/cairnferry/entry/following/_followed.py
+++ b/packages/entry/src/cairnferry/entry/following/_followed.py
@@ -1,4 +1,4 @@
-"""Records that come from two followed tables: rules in one row, a row each target."""
+"""Records from two followed tables: one row with all rules, one row per target."""
 
 import logging
 import time
@@ -25,39 +25,43 @@
 from cairnferry.entry.http import Page
 from cairnferry.peers import PeerCallFailed, PeerLink
 
-# Seconds between two calls for targets. Targets that start one after the other would
-# else be heard of one by one, at every daemon; a target that leaves may be given work
-# for two seconds more.
+# Pause in seconds between two calls for targets. Without it, targets that start one
+# after the other would cause one update each at every daemon. A target that leaves may
+# still receive requests for two seconds.
 TARGETS_COALESCE_S = 0.6
 
-# Seconds between two looks at how old the knowledge of the rules is: a small part of
-# the 10 s from which a daemon calls itself stale.
+# Seconds between two updates of the age of the confirmed rules: a small part of the
+# 10 s from which a daemon considers itself stale.
 CONFIRM_S = 0.5
-# What the table of targets is called among daemons.
+# Name of the table of targets in messages between daemons.
 TARGETS = "targets"
 log = logging.getLogger(__name__)
 
 
 @attrs.define
 class FollowedRecords:
-    """Puts in force what two followed tables hold.
+    """Puts the contents of two followed tables in force.
 
     Parameters
     ----------
     rules_feed, targets_feed : ChangeFeed
-        The tables. The second is also told from daemon to daemon; of the first, peers
-        give the rules in force, and tell the rows beside them.
+        Feeds of the two tables. Daemons exchange the rows of targets, the rules in
+        force, and the other rows of the table of rules.
     rules_key : str
-        Row that holds all rules.
+        Key of the row that holds all rules.
     decoders : RecordDecoders
-        Turn rows into the internal form.
+        Decoders of the rows.
     core : Core
-        The daemon in which they are put in force.
+        The daemon in which records are put in force.
 
     Attributes
     ----------
+    behind : DecodeFault or None
+        Reason for which a newer revision could not be applied.
+    in_force : Event
+        Set once rules are in force.
     tables : dict of str to FollowedTable
-        Tables that daemons tell each other; others may be added before the start.
+        Tables that daemons exchange; others may be added before the start.
     """
 
     rules_feed: ChangeFeed
@@ -77,39 +81,40 @@
     _followers: list[Follower] = attrs.field(factory=list)
 
     def __attrs_post_init__(self):
-        pace = DocumentRateLimit(self.core.cfg.peers.link_bytes_per_s)
-        self._exchange = RulesExchange(pace)
-        self._handovers = HandoverPages(self.handover, pace.admit)
+        rate_limit = DocumentRateLimit(self.core.cfg.peers.link_bytes_per_s)
+        self._exchange = RulesExchange(rate_limit)
+        self._handovers = HandoverPages(self.handover, rate_limit.admit)
         self._targets = TargetRows(
-            self.decoders.target, self.core.faulty_rows, self._take_targets
+            self.decoders.target, self.core.faulty_rows, self._apply_targets
         )
         self._rules_follower = Follower(
             "rules",
             self.rules_feed,
-            self._take_rules,
+            self._apply_rules,
             self.core.rng,
             note_call=self.core.metrics.note_store_call,
-            on_duty=self._is_on_duty,
-            on_failure=self._tell_failure,
+            is_watcher=self._is_watcher,
+            on_failure=self._report_failure,
         )
         self._followers.append(self._rules_follower)
         evacuations = Evacuations(self.decoders.evacuated, self._evacuate)
-        # Told first: a daemon that starts learns whom to spare before it has targets.
-        beside = FollowedTable(EVACUATIONS, evacuations.apply_rows)
-        self.tables[EVACUATIONS] = beside
-        self._rules_follower.split(beside, lambda key: key == self.rules_key)
+        # Listed before the targets, so that a daemon that starts knows the evacuated
+        # zones before it has targets.
+        secondary = FollowedTable(EVACUATIONS, evacuations.apply_rows)
+        self.tables[EVACUATIONS] = secondary
+        self._rules_follower.split(secondary, lambda key: key == self.rules_key)
         self.follow_shared_table(
-            TARGETS, self.targets_feed, self._take_targets, TARGETS_COALESCE_S
+            TARGETS, self.targets_feed, self._apply_targets, TARGETS_COALESCE_S
         )
 
     def _evacuate(self, zones, version):
         self.core.evacuate(zones, version)
         self.core.gossip.trigger_round()
 
-    def _is_on_duty(self):
+    def _is_watcher(self):
         return self.core.watcher_role.is_active()
 
-    def _tell_failure(self):
+    def _report_failure(self):
         if self.core.watcher_role.report_store_failure():
             self.core.gossip.trigger_round()
 
@@ -120,16 +125,16 @@
         on_change: Callable[[dict[str, Row]], None],
         coalesce_s: float,
     ) -> None:
-        """Follow a table of which daemons tell each other.
+        """Follow one more table, whose updates daemons exchange.
 
         Parameters
         ----------
         name : str
-            What it is called in logs and among daemons.
+            Name of the table in logs and in messages between daemons.
         feed : ChangeFeed
-            The table.
+            Feed of the table.
         on_change : callable
-            Called with all rows by key, whenever they differ.
+            Called with all rows by key, whenever they change.
         coalesce_s : float
             Pause in seconds between two calls.
         """
@@ -140,8 +145,8 @@
             self.core.rng,
             coalesce_s,
             self.core.metrics.note_store_call,
-            self._is_on_duty,
-            self._tell_failure,
+            self._is_watcher,
+            self._report_failure,
         )
         self._followers.append(follower)
         self.tables[name] = follower.table
@@ -152,14 +157,14 @@
         return self._rules.revision if self._rules else 0
 
     def tasks(self) -> list[Callable[[], None]]:
-        """Give the functions that run as long as the daemon does."""
+        """Return the functions to run for the daemon's lifetime."""
         for follower in self._followers:
             others = [each for each in self._followers if each is not follower]
             follower.partners.extend(others)
         return [self._confirm, *(follower.run for follower in self._followers)]
 
     def _confirm(self):
-        """Tell the cluster now and then how old the knowledge of the rules is."""
+        """Report the time of the last confirmation to the cluster periodically."""
         follower = self._rules_follower
         while True:
             gevent.sleep(CONFIRM_S)
@@ -168,15 +173,21 @@
 
     # -- rules ------------------------------------------------------------------
 
-    def _take_rules(self, rows):
+    def _apply_rules(self, rows):
         row = rows.get(self.rules_key)
         if row is not None:
             self.apply(row.value)
 
     def apply(self, document: bytes) -> bool:
-        """Put a document in force if it is newer; what cannot be read changes nothing.
+        """Put a document in force if it is newer; return whether it was.
 
-        A late answer, or a peer that lags, must not bring back older rules.
+        A document that cannot be read has no effect. Older rules are ignored, as they
+        may come from a late answer or from a peer that lags behind.
+
+        Parameters
+        ----------
+        document : bytes
+            Document that holds all rules.
         """
         decoded = self.decoders.rules(document).bind(Rules.check_references)
         if decoded.is_error():
@@ -198,7 +209,7 @@
         services = self.core.services
         services.install_rules(rules.revision, rules.services, rules.routes)
         self._install_targets()
-        self.core.limit_callers(rules.limits)
+        self.core.apply_caller_limits(rules.limits)
         self.in_force.set()
         log.info(
             "in force",
@@ -213,7 +224,7 @@
         return True
 
     def redecode_rules(self) -> None:
-        """Put the rules in force once more, as what they are read with has changed."""
+        """Decode the rules in force again, after settings of the decoder changed."""
         decoded = self.decoders.rules(self._document)
         if self._rules is None or decoded.is_error():
             return
@@ -224,7 +235,7 @@
 
     # -- targets ----------------------------------------------------------------
 
-    def _take_targets(self, rows):
+    def _apply_targets(self, rows):
         self._targets.apply_rows(rows)
         self._install_targets()
 
@@ -238,11 +249,11 @@
             if paths.get(target.service)
         ]
         self.core.services.install_targets(targets)
-        self._note_cold()
+        self._record_cold()
         self.core.upstreams.keep_only(targets)
-        self.core.share_out()
+        self.core.update_shares()
 
-    def _note_cold(self):
+    def _record_cold(self):
         services = {service.name: service for service in self._rules.services}
         for key, warm_at in self._targets.warm_at.items():
             target = self._targets.in_force[key]
@@ -253,78 +264,91 @@
     # -- peers ------------------------------------------------------------------
 
     def rows_from(self, first: int) -> list:
-        """Give none: there is no log, only the newest rules."""
+        """Return no rows: only the newest rules are held, and no change log."""
         return []
 
     def snapshot(self) -> bytes:
-        """Give the rules in force, for a peer of an earlier release."""
+        """Return the rules in force, for a peer of an earlier release."""
         return self._document
 
     def document_since(self, revision: int) -> DocumentNews:
-        """Give what a peer lacks of the rules that holds a revision."""
-        return self._exchange.give(revision)
+        """Return the update of the rules for a peer that holds a revision."""
+        return self._exchange.update_since(revision)
 
     def handover(self) -> Handover:
-        """Give what is in force, for a daemon that starts in an outage."""
+        """Return the records in force, for a daemon that starts during an outage."""
         targets, evacuations = (
             self.tables[name].copy.news_since(0) for name in (TARGETS, EVACUATIONS)
         )
         return Handover(self._document, targets, evacuations)
 
     def handover_page(self, url: str) -> Page:
-        """Answer a daemon that asks for what is in force."""
+        """Answer a daemon's request for the records in force."""
         return self._handovers.page(url)
 
-    def take_over(self, handover: Handover, source: str) -> bool:
-        """Put in force what another daemon gave; tell whether that was done.
+    def apply_handover(self, handover: Handover, source: str) -> bool:
+        """Put records of another daemon in force; return whether they were applied.
 
-        What the store tells goes before it.
+        Newer records from the store take precedence.
+
+        Parameters
+        ----------
+        handover : Handover
+            Records of the other daemon.
+        source : str
+            Address of the other daemon, for logs.
         """
         self.tables[EVACUATIONS].apply_update(handover.evacuations)
         if not self.apply(handover.rules):
             return False
         self.tables[TARGETS].apply_update(handover.targets)
-        log.info("taken over", extra={"from": source, "revision": self.revision})
+        log.info(
+            "applied a handover from another daemon",
+            extra={"from": source, "revision": self.revision},
+        )
         return True
 
-    def pull_from(self, link: PeerLink, offered: int, asked: int = 0) -> None:
-        """Take over a peer's rules: it reaches the store, or did so later.
+    def pull_from(self, link: PeerLink, offered: int, retries: int = 0) -> None:
+        """Fetch newer rules from a peer and put them in force.
 
         Parameters
         ----------
         link : PeerLink
             Connection to the peer.
         offered : int
-            Revision that the peer has.
-        asked : int, optional
-            How often the peer has had no room to give them so far.
+            Revision in force at the peer.
+        retries : int, optional
+            Number of earlier calls that the peer's rate limit rejected.
 
         Raises
         ------
         PeerCallFailed
             If the peer did not answer.
         """
-        turns = self._exchange.turns
-        if self.revision >= offered or not turns.begin(link.address, time.monotonic()):
+        slots = self._exchange.slots
+        if self.revision >= offered or not slots.begin(link.address, time.monotonic()):
             return
         try:
             document = self._exchange.fetch(link, self.revision)
         finally:
-            turns.end(link.address)
+            slots.end(link.address)
         if document is not None:
             self.apply(document)
-        elif asked < MAX_BUSY_RETRIES:
+        elif retries < MAX_BUSY_RETRIES:
             pause = BUSY_RETRY_S * (0.5 + self.core.rng.random())
-            gevent.spawn_later(pause, self._ask_again, link, offered, asked + 1)
+            gevent.spawn_later(pause, self._retry_pull, link, offered, retries + 1)
 
-    def _ask_again(self, link, offered, asked):
+    def _retry_pull(self, link, offered, retries):
         try:
-            self.pull_from(link, offered, asked)
+            self.pull_from(link, offered, retries)
         except PeerCallFailed as exc:
-            log.info("pull failed", extra={"peer": exc.address, "why": exc.reason})
+            log.info(
+                "pull from a peer failed",
+                extra={"peer": exc.address, "why": exc.reason},
+            )
 
     def dump(self) -> dict:
-        """Give the state for a dump, as plain values."""
+        """Return the state for a dump, as plain values."""
         age = self.core.cluster.confirmation.age(time.monotonic())
         return {
             "revision": self.revision,
--- a/packages/entry/src/cairnferry/entry/following/_following.py
+++ b/packages/entry/src/cairnferry/entry/following/_following.py
@@ -1,4 +1,4 @@
-"""Keeping a local copy of a table of which changes can be waited for."""
+"""Following the change feed of a table to keep a local copy up to date."""
 
 import logging
 import math
@@ -15,77 +15,80 @@
 from cairnferry.entry.following._split_table import SplitTable
 from cairnferry.entry.following._table import FollowedTable
 
-# Pause in seconds after a failed call, doubled up to the longest, with jitter. All
-# instances lose the store at once, and would come back at once.
+# First and longest pause in seconds after failed calls. The pause doubles and has
+# jitter: all instances lose the store at once and would retry at once.
 RETRY_S = 0.1
 MAX_RETRY_S = 1.0
-# Longest time in seconds for which a call waits for changes, and the shortest as a
-# part of it. A store that falls silent is noticed when the wait is over: waits of
-# different lengths keep instances out of step, so that one of them soon finds it back
-# and tells the others.
+# Longest wait in seconds of a call for changes, and the shortest wait as a share of it.
+# A store that has become silent is noticed at the end of a wait. Waits of different
+# lengths desynchronise the instances, so that one of them soon detects the return of
+# the store and reports it to the others.
 MAX_WAIT_S = 8.0
 MIN_WAIT_SHARE = 0.4
-# Seconds for which a failed call is kept in mind while others watch: the first call
-# that succeeds within them is the end of an outage, after which rows that vanish are
-# held.
+# Seconds for which a failed call is remembered while other daemons watch. The first
+# successful call within this time ends an outage, after which removed rows are
+# retained.
 OUTAGE_MEMORY_S = 8.0
-# Seconds between two looks at whether it has become this daemon's duty to watch: a
-# small part of the time within which a change has to be in force.
+# Seconds between two checks whether this daemon is a watcher: a small part of the time
+# within which a change has to be in force.
 ROLE_CHECK_S = 0.15
 
 log = logging.getLogger(__name__)
 
 
 def _note_nothing(kind, result):
-    """Count no calls."""
+    """Do not count the call."""
 
 
 def _always():
-    """Be on duty."""
+    """Watch the store at all times."""
     return True
 
 
 def _do_nothing():
-    """Tell nobody."""
+    """Ignore the failure."""
 
 
 class _Restart(BaseException):
-    """Ends a call that may wait for an answer which was lost."""
+    """Aborts a call that may wait for a lost answer."""
 
 
 @attrs.define(eq=False)
 class Follower:
-    """Follows one feed while that is this daemon's duty.
+    """Follows one feed while this daemon is a watcher of the store.
 
-    Others tell it what is new while it is not: calls to the store grow with the zones,
-    not with the daemons.
+    Otherwise other daemons send it the updates, so that the number of calls to the
+    store grows with the number of zones, not of daemons.
 
     Parameters
     ----------
     name : str
-        What is followed, for logs.
+        Name of the table, for logs and metrics.
     feed : ChangeFeed
-        Single calls.
+        Calls to the store.
     on_change : callable
-        Called with all rows by key, whenever they differ.
+        Called with all rows by key, whenever they change.
     rng : random.Random
-        For jitter.
-    note_call : callable
-        Called with what a call was for and how it ended, to count it.
+        Random numbers for jitter.
     coalesce_s : float
-        Pause in seconds between two calls: changes come in groups, and each call has
-        its price. To be far below the time within which a change has to be in force.
-    on_duty : callable
-        Tells whether this daemon is to call the store.
+        Pause in seconds between two calls. Changes come in groups, and each call is
+        billed. It should be far below the time within which a change has to be in
+        force.
+    note_call : callable
+        Called with the purpose and the outcome of each call, to count it.
+    is_watcher : callable
+        Returns whether this daemon calls the store.
     on_failure : callable
-        Called when the store gave no answer.
+        Called when the store did not answer.
 
     Attributes
     ----------
-    table : FollowedTable or SplitTable
-        What is held.
     confirmed_at : float or None
         Monotonic time in seconds up to which the copy is known to be complete.
+    partners : list of Follower
+        Followers of other tables of the same store.
+    table : FollowedTable or SplitTable
+        Local copy.
     """
 
     name: str
@@ -94,17 +97,17 @@
     rng: random.Random
     coalesce_s: float = 0.25
     note_call: Callable[[str, str], None] = _note_nothing
-    on_duty: Callable[[], bool] = _always
+    is_watcher: Callable[[], bool] = _always
     on_failure: Callable[[], None] = _do_nothing
     confirmed_at: float | None = None
     partners: list["Follower"] = attrs.field(factory=list)
     table: FollowedTable | SplitTable = attrs.field(init=False)
     _task: gevent.Greenlet | None = None
-    _asked_at: float = 0.0
-    _is_asking: bool = False
-    _in_doubt: bool = False
-    # Where the store's feed goes on; None if the copy tells it, or rows are to be
-    # listed.
+    _called_at: float = 0.0
+    _is_calling: bool = False
+    _was_aborted: bool = False
+    # Version from which the feed resumes; None to use the version of the copy or to
+    # list all rows.
     _position: int | None = None
     _must_list: bool = False
     _failures: int = 0
@@ -113,84 +116,92 @@
     def __attrs_post_init__(self):
         self.table = FollowedTable(self.name, self.on_change)
 
-    def split(self, beside: FollowedTable, is_main: Callable[[str], bool]) -> None:
-        """Keep some rows of the feed in a copy of their own, as `SplitTable`."""
-        self.table = SplitTable(self.table, beside, is_main)
+    def split(self, secondary: FollowedTable, is_main: Callable[[str], bool]) -> None:
+        """Keep some rows of the feed in a separate copy, as `SplitTable`."""
+        self.table = SplitTable(self.table, secondary, is_main)
 
     def run(self) -> None:
-        """Follow for ever."""
+        """Follow the feed forever."""
         self._task = gevent.getcurrent()
         while True:
-            if self.on_duty():
-                pause = self._one_call_or_restart()
+            if self.is_watcher():
+                pause = self._poll_or_restart()
             else:
-                pause = self._rest()
+                pause = self._stand_by()
             gevent.sleep(pause)
 
-    def _rest(self):
-        """Leave the calls to others; begin again with what they have told by then."""
+    def _stand_by(self):
+        """Leave the calls to other daemons; return the seconds to pause.
+
+        Later calls resume from the version that other daemons have sent by then.
+        """
         self._position = None
         self._must_list = False
         if time.monotonic() - self._failed_at > OUTAGE_MEMORY_S:
             self._failures = 0
         return ROLE_CHECK_S * (0.5 + self.rng.random())
 
-    def _one_call_or_restart(self):
+    def _poll_or_restart(self):
         try:
-            return self.one_call()
+            return self.poll_once()
         except _Restart:
-            self._is_asking = False
-            self._in_doubt = True
+            self._is_calling = False
+            self._was_aborted = True
             return 0.0
 
-    def doubt_calls_before(self, moment: float) -> None:
-        """Give up a call that began before a moment at which the store was away.
+    def abort_calls_before(self, moment: float) -> None:
+        """Abort a call that began before a moment at which the store was unreachable.
+
+        Its answer may be lost. The call would wait for it until its timeout and miss
+        changes meanwhile.
 
-        Its answer may be lost, and it would wait for it to its timeout, while changes
-        come.
+        Parameters
+        ----------
+        moment : float
+            Monotonic time in seconds.
         """
-        if self._is_asking and self._asked_at < moment:
+        if self._is_calling and self._called_at < moment:
             self._task.kill(_Restart, block=False)
 
-    def one_call(self) -> float:
-        """Make one call and take in its result; give the seconds to pause."""
-        asked_at = self._asked_at = time.monotonic()
-        position = self._goes_on_from()
+    def poll_once(self) -> float:
+        """Make one call and apply its result; return the seconds to pause."""
+        called_at = self._called_at = time.monotonic()
+        position = self._next_position()
         wait = 0.0 if position is None else self._wait()
-        self._is_asking = True
+        self._is_calling = True
         if position is None:
-            result = self.feed.everything()
+            result = self.feed.list_all()
         else:
-            result = self.feed.since(position, wait)
-        self._is_asking = False
+            result = self.feed.wait_for_changes(position, wait)
+        self._is_calling = False
         kind = "list" if position is None else "feed"
-        self.note_call(f"{self.name}-{kind}", _ending(result))
+        self.note_call(f"{self.name}-{kind}", _outcome(result))
         if result.is_error():
-            return self._failed(result.error)
-        self._in_doubt = False
-        self._succeeded()
-        self.confirmed_at = self._complete_at(result.ok, asked_at, wait)
-        self._take(result.ok, position)
+            return self._handle_failure(result.error)
+        self._was_aborted = False
+        self._handle_success()
+        self.confirmed_at = self._confirmed_time(result.ok, called_at, wait)
+        self._apply(result.ok, position)
         return self.coalesce_s * (0.8 + 0.4 * self.rng.random())
 
-    def _complete_at(self, batch, asked_at, wait):
-        """Give the time to which an answer is known to tell all.
+    def _confirmed_time(self, batch, called_at, wait):
+        """Return the time up to which an answer confirms the copy.
 
-        One that found nothing was made when the store had waited. Counted from the
-        question, what one watcher confirms would look up to 16 s old, and all daemons
-        would call themselves stale.
+        The store makes an empty answer at the end of its wait. Counted from the start
+        of the call, a watcher's confirmation would seem up to 16 s old, and all daemons
+        would consider themselves stale.
         """
-        has_waited = not batch.items and time.monotonic() >= asked_at + wait
-        return asked_at + wait if has_waited else asked_at
+        has_waited = not batch.items and time.monotonic() >= called_at + wait
+        return called_at + wait if has_waited else called_at
 
-    def _goes_on_from(self):
+    def _next_position(self):
         if self._must_list:
             return None
         if self._position is not None:
             return self._position
         return self.table.copy.version or None
 
-    def _take(self, batch, position):
+    def _apply(self, batch, position):
         if position is None:
             self._must_list = False
             self._position = batch.version
@@ -200,13 +211,13 @@
             self.table.apply_changes(batch)
 
     def _wait(self):
-        """Give the seconds to wait for changes; none while the store may be away."""
-        if self._failures or self._in_doubt:
+        """Return the seconds to wait for changes; 0 if the store may be unreachable."""
+        if self._failures or self._was_aborted:
             return 0.0
         share = MIN_WAIT_SHARE + (1 - MIN_WAIT_SHARE) * self.rng.random()
         return MAX_WAIT_S * share
 
-    def _failed(self, fault):
+    def _handle_failure(self, fault):
         match fault:
             case HistoryLost():
                 log.info("history lost", extra={"feed": self.name})
@@ -221,19 +232,19 @@
                 longest = min(MAX_RETRY_S, RETRY_S * 2**self._failures)
                 return longest * (0.5 + 0.5 * self.rng.random())
 
-    def _succeeded(self):
+    def _handle_success(self):
         if not self._failures:
             return
         log.info("feed is back", extra={"feed": self.name, "failed": self._failures})
         self._failures = 0
         for partner in self.partners:
-            partner.doubt_calls_before(self._asked_at)
+            partner.abort_calls_before(self._called_at)
         if self.table.copy.version:
             self.table.hold_for(_table.RETURN_GRACE_S)
 
 
-def _ending(result):
-    """Say in a word how a call ended."""
+def _outcome(result):
+    """Return the outcome of a call as a label of a metric."""
     if result.is_ok():
         return "rows" if result.ok.items else "nothing"
     return "history-lost" if isinstance(result.error, HistoryLost) else "failed"
--- a/packages/entry/src/cairnferry/entry/following/_handover.py
+++ b/packages/entry/src/cairnferry/entry/following/_handover.py
@@ -1,8 +1,9 @@
-"""What a daemon gives to one that starts while the platform's store is away.
+"""Handover of records to a daemon that starts while the store is unreachable.
 
-A daemon keeps nothing. One that is restarted in an outage would refuse every request
-to the end of it, although the others hold all that it needs. It gets no shared key this
-way: it serves callers, and joins the others once the store is back.
+A daemon has no persistent state. One that is restarted during an outage of the
+platform's store would refuse every request until its end, although the other daemons
+hold all records. A handover contains no shared key: the daemon serves callers, and
+joins the others once the store is back.
 """
 
 import base64
@@ -24,15 +25,16 @@
 from cairnferry.wire import Client, Reply, describe_outcome
 
 HANDOVER_PATH = "/handover"
-# Query by which the compressed form is asked for; earlier releases pass it over.
-PACKED = "packed"
-# Field that tells that contents stand as text, not in base64, which hardly shrinks.
+# Query that requests the compressed form; earlier releases ignore it.
+COMPRESSED = "packed"
+# Field that marks contents as text. Contents in base64 hardly compress.
 AS_TEXT = "as_text"
-# Seconds that the store is given first, many times what it needs when it is well, and
-# between two rounds of asking others; seconds for one answer of another daemon, which
-# has nothing to wait for: a round of three dead seeds ends within 2 s.
-PATIENCE_S = 0.4
+# Seconds before the first request: many times what a healthy store takes to answer.
+INITIAL_DELAY_S = 0.4
+# Seconds between two rounds of requests to other daemons.
 ROUND_S = 0.5
+# Timeout of one request in seconds. The answer is immediate, and a round of three
+# unreachable seeds ends within 2 s.
 TIMEOUT_S = 0.5
 OK_STATUS = 200
 
@@ -41,15 +43,14 @@
 
 @attrs.frozen
 class Handover:
-    """Rules and targets as the platform wrote them.
+    """Rules, targets and evacuations as the platform wrote them.
 
     Attributes
     ----------
     rules : bytes
         The document that holds all rules.
     targets, evacuations : TableUpdate
-        All rows of targets, and those that evacuate zones, and the versions at which
-        they are exact.
+        All rows of targets and of evacuated zones, with the versions of the tables.
     """
 
     rules: bytes
@@ -57,11 +58,11 @@
     evacuations: TableUpdate = TableUpdate(True, (), 0)
 
     def write(self) -> bytes:
-        """Write it as JSON, for a daemon of an earlier release."""
+        """Return the handover as JSON, for a daemon of an earlier release."""
         return json.dumps(self._document(_to_base64)).encode()
 
-    def pack(self) -> bytes:
-        """Write it compressed: a large one would fill the link of either side."""
+    def compress(self) -> bytes:
+        """Return the handover compressed, so that it does not fill the links."""
         document = {AS_TEXT: True, **self._document(_to_text)}
         return zlib.compress(json.dumps(document).encode())
 
@@ -76,14 +77,14 @@
 
     @classmethod
     def read(cls, data: bytes) -> Result["Handover", DecodeFault]:
-        """Read what `write` or `pack` wrote."""
+        """Decode the output of `write` or `compress`."""
         try:
             text = data if data.startswith(b"{") else zlib.decompress(data)
             document = json.loads(text)
             decode = _from_text if document.get(AS_TEXT) else base64.b64decode
             rules = decode(document["rules"])
             targets = _read_rows(document["targets"], document["version"], decode)
-            # Daemons of earlier releases give none.
+            # Daemons of earlier releases send no evacuations.
             evacuations = _read_rows(
                 document.get("evacuations", ()),
                 document.get("evacuations_version", 0),
@@ -126,56 +127,58 @@
 
 @attrs.define
 class HandoverPages:
-    """Hands over what is in force, as fast as the link allows.
+    """Serves the records in force, up to the rate limit of the link.
 
-    After a loss of power all daemons ask at once. One that is told to ask again gets it
-    from another meanwhile.
+    After a power failure all daemons request a handover at once. A daemon that is
+    rejected requests it from another one.
 
     Parameters
     ----------
     handover : callable
-        Gives what is in force.
-    has_room : callable
-        Tells whether so many bytes may be given at a monotonic time in seconds.
+        Returns the records in force.
+    admit : callable
+        Returns whether a number of bytes may be sent at a monotonic time in seconds.
     """
 
     handover: Callable[[], Handover]
-    has_room: Callable[[int, float], bool]
-    _packed: tuple[Handover, bytes] | None = None
+    admit: Callable[[int, float], bool]
+    _compressed: tuple[Handover, bytes] | None = None
 
     def page(self, url: str) -> Page:
-        """Answer a daemon that starts."""
+        """Answer the request of a daemon that starts."""
         handover = self.handover()
         if not handover.rules:
-            return _later("no rules yet")
-        is_packed = url.partition("?")[2] == PACKED
-        body = self._pack(handover) if is_packed else handover.write()
-        if not self.has_room(len(body), time.monotonic()):
-            return _later("ask again")
-        return Page("200 OK", body, "application/octet-stream" if is_packed else JSON)
-
-    def _pack(self, handover):
-        if self._packed is None or self._packed[0] != handover:
-            self._packed = (handover, handover.pack())
-        return self._packed[1]
-
-
-def _later(reason):
+            return _unavailable("no rules yet")
+        is_compressed = url.partition("?")[2] == COMPRESSED
+        body = self._compress(handover) if is_compressed else handover.write()
+        if not self.admit(len(body), time.monotonic()):
+            return _unavailable("ask again")
+        return Page(
+            "200 OK", body, "application/octet-stream" if is_compressed else JSON
+        )
+
+    def _compress(self, handover):
+        if self._compressed is None or self._compressed[0] != handover:
+            self._compressed = (handover, handover.compress())
+        return self._compressed[1]
+
+
+def _unavailable(reason):
     return Page.of("503 Service Unavailable", {"error": reason})
 
 
 @attrs.define
 class HandoverClient:
-    """Asks others for what is in force, until it is known.
+    """Requests a handover from other daemons until rules are in force.
 
     Parameters
     ----------
     records : FollowedRecords
-        Takes it over.
+        Applies the handover.
     seeds : tuple of Address
-        Others to ask; they may be gone, or this daemon itself.
+        Daemons to call; they may be lost, or this daemon itself.
     rng : random.Random
-        For the order.
+        Random numbers for the order of calls and for jitter.
     """
 
     records: object
@@ -183,31 +186,34 @@
     rng: random.Random
 
     def run(self) -> None:
-        """Ask until rules are in force, from wherever they come."""
+        """Send requests until rules are in force, from any source."""
         if not self.seeds:
             return
-        gevent.sleep(PATIENCE_S)
+        gevent.sleep(INITIAL_DELAY_S)
         while not self.records.revision:
             for seed in self.rng.sample(self.seeds, len(self.seeds)):
-                if self._ask(seed):
+                if self._request(seed):
                     return
             gevent.sleep(ROUND_S * (0.5 + self.rng.random()))
 
-    def _ask(self, seed):
+    def _request(self, seed):
         client = Client(seed.host, seed.port)
         try:
-            path = f"{HANDOVER_PATH}?{PACKED}"
+            path = f"{HANDOVER_PATH}?{COMPRESSED}"
             outcome = client.call("GET", path, timeout=TIMEOUT_S)
         finally:
             client.close()
         if not isinstance(outcome, Reply) or outcome.status != OK_STATUS:
             log.info(
-                "no handover",
+                "handover request failed",
                 extra={"from": str(seed), "why": describe_outcome(outcome)},
             )
             return False
         read = Handover.read(outcome.body)
         if read.is_error():
-            log.warning("handover", extra={"from": str(seed), "why": str(read.error)})
+            log.warning(
+                "handover cannot be read",
+                extra={"from": str(seed), "why": str(read.error)},
+            )
             return False
-        return self.records.take_over(read.ok, str(seed))
+        return self.records.apply_handover(read.ok, str(seed))
--- a/packages/entry/src/cairnferry/entry/following/_instances.py
+++ b/packages/entry/src/cairnferry/entry/following/_instances.py
@@ -1,4 +1,4 @@
-"""The registry's rows, followed like other tables: who is listed, at every daemon."""
+"""Listed instances, from the registry's table, which each daemon follows."""
 
 from collections.abc import Callable
 
@@ -8,37 +8,37 @@
 from cairnferry.coordination import Row
 from cairnferry.entry._ports import DecodeFault, EntryRow
 from cairnferry.entry.members import Enrolment
-from cairnferry.entry.telemetry import FaultyRows
+from cairnferry.entry.telemetry import FaultyRowLog
 
-# What the table of instances is called among daemons.
+# Name of the table of instances in messages between daemons.
 INSTANCES = "instances"
-# Seconds between two calls for instances. They come and go rarely, or many at once, and
-# heartbeats tell who lives.
+# Pause in seconds between two calls for instances. They change rarely or many at once,
+# and heartbeats report which of them are alive.
 INSTANCES_COALESCE_S = 1.0
 
 
 @attrs.define
 class FollowedInstances:
-    """Tells the enrolment which instances the registry lists.
+    """Passes the instances listed in the registry to the enrolment.
 
     Parameters
     ----------
     decode : callable
-        From the name and the bytes of a row; None for a row that is no instance's.
+        Decodes a row, given its name and bytes; returns None for other kinds of rows.
     enrolment : Enrolment
-        Takes in who is listed.
-    faulty_rows : FaultyRows
-        Takes note of rows that cannot be read.
+        Receives the listed instances.
+    faulty_rows : FaultyRowLog
+        Records rows that cannot be read.
     """
 
     decode: Callable[[str, bytes], Result[EntryRow | None, DecodeFault]]
     enrolment: Enrolment
-    faulty_rows: FaultyRows
+    faulty_rows: FaultyRowLog
     _rows: dict[str, Row] = attrs.field(factory=dict)
     _entries: dict[str, EntryRow] = attrs.field(factory=dict)
 
     def apply_rows(self, rows: dict[str, Row]) -> None:
-        """Take in all rows by key; those that changed are read anew."""
+        """Apply all rows, by key; only changed rows are decoded."""
         entries = {}
         for key, row in rows.items():
             known = self._rows.get(key) is row
@@ -47,7 +47,7 @@
                 entries[key] = entry
         self._rows = rows
         self._entries = entries
-        self.enrolment.take_all(entries.values())
+        self.enrolment.apply_all_entries(entries.values())
 
     def _read(self, key, row):
         decoded = self.decode(key, row.value)
--- a/packages/entry/src/cairnferry/entry/following/_rules_exchange.py
+++ b/packages/entry/src/cairnferry/entry/following/_rules_exchange.py
@@ -1,9 +1,9 @@
-"""How daemons give each other the document that holds the rules.
+"""Exchange of the document with all rules between daemons.
 
-A document of thousands of rules fills an instance's link for as long as several
-requests take. Each daemon fetches it from one peer at a time, and gives it to others at
-a rate that leaves most of its link to requests; those that come too soon ask others
-meanwhile, so that it goes from those that have it to ever more.
+A document of thousands of rules occupies an instance's link for the duration of several
+requests. Each daemon fetches it from one peer at a time, and sends it to others at a
+rate that leaves most of its link to requests. Peers that exceed the rate fetch it from
+other daemons, so that the number of sources grows.
 """
 
 import logging
@@ -21,53 +21,55 @@
 )
 from cairnferry.peers import PeerCallFailed, PeerLink
 
-# Part of the link's rate at which documents are given.
+# Share of the link's rate that may be used to send documents.
 LINK_SHARE = 0.4
-# Seconds of that rate that may be given at once.
+# Size of a burst, in seconds of that rate.
 BURST_S = 0.2
-# Bytes up to which news is always given: that of one changed rule has some hundred.
+# Bytes up to which an update is always sent: the update of one changed rule takes some
+# hundred bytes.
 SMALL_BYTES = 2048
-# Seconds after which a peer that still has not answered is no reason to wait for it,
-# and fetches at the same time.
-PATIENCE_S = 0.3
+# Seconds after which a second fetch may start although a peer has not answered yet.
+SLOW_FETCH_S = 0.3
+# Fetches in progress at the same time.
 MAX_FETCHES = 2
-# Seconds after which a peer that had no room is asked again.
+# Pause in seconds before a peer that has reached its rate limit is called again.
 BUSY_RETRY_S = 0.15
-# How often: one that lost its rules meanwhile has none to give, and another will offer.
+# Maximum number of such retries. A peer that was restarted meanwhile has no rules to
+# send, and another peer will offer them.
 MAX_BUSY_RETRIES = 8
-# How a call ends that a peer of an earlier release does not know.
-NO_SUCH_CALL = "TApplicationException"
+# Reason of a failed call whose method a peer of an earlier release does not know.
+UNKNOWN_METHOD = "TApplicationException"
 
 log = logging.getLogger(__name__)
 
 
 @attrs.define
 class DocumentRateLimit:
-    """Decides whether there is room on the link to give a document now.
+    """Limits the rate at which documents are sent.
 
     Parameters
     ----------
     link_bytes_per_s : float
-        Rate of this instance's link; infinite if it is not known.
+        Rate of this instance's link in bytes per second; infinite if unknown.
     """
 
     link_bytes_per_s: float = math.inf
     _bucket: TokenBucket | None = None
 
     def admit(self, size: int, now: float) -> bool:
-        """Tell whether a document may be given now; if so, count it.
+        """Return whether a document may be sent now; if so, count its bytes.
 
         Parameters
         ----------
         size : int
-            Its bytes.
+            Size of the document in bytes.
         now : float
             Monotonic time in seconds.
         """
         if size <= SMALL_BYTES or self.link_bytes_per_s == math.inf:
             return True
         rate = LINK_SHARE * self.link_bytes_per_s
-        # One that is larger than the burst goes out whenever the bucket is full.
+        # A document that is larger than the burst is sent when the bucket is full.
         burst = max(BURST_S * rate, size)
         if self._bucket is None:
             self._bucket = TokenBucket(rate, burst, now, tokens=burst)
@@ -77,57 +79,83 @@
 
 @attrs.define
 class FetchSlots:
-    """Decides whether to fetch from a peer that offers something newer."""
+    """Bounds the fetches in progress, to one per peer and `MAX_FETCHES` in all."""
 
     _begun: dict[str, float] = attrs.field(factory=dict)
 
     def begin(self, address: str, now: float) -> bool:
-        """Tell whether to fetch from a peer now; to be followed by `end`."""
-        is_patient = any(at > now - PATIENCE_S for at in self._begun.values())
-        if address in self._begun or is_patient or len(self._begun) >= MAX_FETCHES:
+        """Return whether to fetch from a peer now; if so, `end` must be called.
+
+        Parameters
+        ----------
+        address : str
+            Address of the peer.
+        now : float
+            Monotonic time in seconds.
+        """
+        is_waiting = any(at > now - SLOW_FETCH_S for at in self._begun.values())
+        if address in self._begun or is_waiting or len(self._begun) >= MAX_FETCHES:
             return False
         self._begun[address] = now
         return True
 
     def end(self, address: str) -> None:
-        """Take in that a fetch is over."""
+        """Record the end of a fetch from a peer."""
         self._begun.pop(address, None)
 
 
 @attrs.define
 class RulesExchange:
-    """Versions of the document, and the turns in which they are fetched and given."""
+    """Fetches the document from peers and sends it to them.
 
-    pace: DocumentRateLimit = attrs.field(factory=DocumentRateLimit)
-    turns: FetchSlots = attrs.field(factory=FetchSlots)
+    Attributes
+    ----------
+    rate_limit : DocumentRateLimit
+        Rate limit of sending.
+    slots : FetchSlots
+        Fetches in progress.
+    history : DocumentHistory
+        Recent versions of the document.
+    """
+
+    rate_limit: DocumentRateLimit = attrs.field(factory=DocumentRateLimit)
+    slots: FetchSlots = attrs.field(factory=FetchSlots)
     history: DocumentHistory = attrs.field(factory=DocumentHistory)
 
     def fetch(self, link: PeerLink, revision: int) -> bytes | None:
-        """Fetch newer rules than a revision; None if the peer has no room for that.
+        """Fetch newer rules than a revision; None if the peer sends none now.
+
+        Parameters
+        ----------
+        link : PeerLink
+            Connection to the peer.
+        revision : int
+            Revision in force at this daemon.
 
         Raises
         ------
         PeerCallFailed
-            If the peer did not answer, or with what cannot be read.
+            If the peer did not answer, or its answer cannot be read.
         """
         try:
-            news = link.document_since(revision)
+            update = link.document_since(revision)
         except PeerCallFailed as exc:
-            if exc.reason != NO_SUCH_CALL:
+            if exc.reason != UNKNOWN_METHOD:
                 raise
             return link.snapshot() or None
-        if news == NO_DOCUMENT_NEWS:
+        if update == NO_DOCUMENT_NEWS:
             return None
         try:
-            return self.history.read(news)
+            return self.history.read(update)
         except DocumentFault as exc:
             log.warning(
-                "rules of a peer", extra={"peer": link.address, "why": str(exc)}
+                "rules from a peer cannot be read",
+                extra={"peer": link.address, "why": str(exc)},
             )
             raise PeerCallFailed(link.address, "rules") from exc
 
-    def give(self, revision: int) -> DocumentNews:
-        """Give what a peer lacks that holds a revision; nothing if there is no room."""
-        news = self.history.news_since(revision)
-        has_room = self.pace.admit(len(news.packed), time.monotonic())
-        return news if has_room else NO_DOCUMENT_NEWS
+    def update_since(self, revision: int) -> DocumentNews:
+        """Return the update since a revision; none above the rate limit."""
+        update = self.history.news_since(revision)
+        is_admitted = self.rate_limit.admit(len(update.packed), time.monotonic())
+        return update if is_admitted else NO_DOCUMENT_NEWS
--- a/packages/entry/src/cairnferry/entry/following/_split_table.py
+++ b/packages/entry/src/cairnferry/entry/following/_split_table.py
@@ -1,4 +1,4 @@
-"""Two copies of what the store keeps in one table."""
+"""Two separate copies of the rows of one table."""
 
 from collections.abc import Callable
 
@@ -10,46 +10,46 @@
 
 @attrs.frozen
 class SplitTable:
-    """Sorts the rows of one feed into two copies, each with a version of its own.
+    """Splits the rows of one feed into two copies, each with its own version.
 
-    One change of a table that holds a large document and small rows would else bring
-    all daemons to ask for both.
+    A table may hold a large document and small rows. With a single copy, each change
+    of a small row would make all daemons fetch the document too.
 
     Parameters
     ----------
-    main, beside : FollowedTable
-        The copies. The feed goes on from the version of the first one.
+    main, secondary : FollowedTable
+        The copies. The feed resumes from the version of the main copy.
     is_main : callable
-        Tells by its key whether a row belongs to the first copy.
+        Returns whether a row belongs to the main copy, given its key.
     """
 
     main: FollowedTable
-    beside: FollowedTable
+    secondary: FollowedTable
     is_main: Callable[[str], bool]
 
     @property
     def copy(self):
-        """The copy from which the feed goes on."""
+        """The main copy, from whose version the feed resumes."""
         return self.main.copy
 
     def apply_listing(self, batch: Batch) -> None:
-        """Take in all rows as the store listed them."""
-        main, beside = self._sort(batch)
-        self.beside.apply_listing(beside)
+        """Apply all rows as listed by the store."""
+        main, secondary = self._split(batch)
+        self.secondary.apply_listing(secondary)
         self.main.apply_listing(main)
 
     def apply_changes(self, batch: Batch) -> None:
-        """Take in changes that the store told."""
-        main, beside = self._sort(batch)
-        self.beside.apply_changes(beside)
+        """Apply changes reported by the store."""
+        main, secondary = self._split(batch)
+        self.secondary.apply_changes(secondary)
         self.main.apply_changes(main)
 
     def hold_for(self, seconds: float) -> None:
-        """Hold rows that vanish from now on, as the store was away until now."""
+        """Retain rows that are removed within some seconds, after a store outage."""
         self.main.hold_for(seconds)
-        self.beside.hold_for(seconds)
+        self.secondary.hold_for(seconds)
 
-    def _sort(self, batch):
+    def _split(self, batch):
         main = tuple(row for row in batch.items if self.is_main(row.key))
-        beside = tuple(row for row in batch.items if not self.is_main(row.key))
-        return Batch(main, batch.version), Batch(beside, batch.version)
+        secondary = tuple(row for row in batch.items if not self.is_main(row.key))
+        return Batch(main, batch.version), Batch(secondary, batch.version)
--- a/packages/entry/src/cairnferry/entry/following/_table.py
+++ b/packages/entry/src/cairnferry/entry/following/_table.py
@@ -1,4 +1,4 @@
-"""A table that is followed: its copy, and rows that are held after an outage."""
+"""Local copy of a followed table, which retains lapsed rows after an outage."""
 
 import logging
 import time
@@ -9,146 +9,152 @@
 
 from cairnferry.coordination import Batch, Row, TableReplica, TableUpdate, era_of
 
-# Seconds after the end of an outage for which a row that vanished is still held.
-# Rows lapse while their writers cannot reach the store; the platform says that those
-# of living writers are back within two seconds.
+# Seconds after the end of an outage for which removed rows are retained. Rows lapse
+# while their writers cannot reach the store. According to the platform, live writers
+# have written them again within two seconds.
 RETURN_GRACE_S = 1.9
 
 log = logging.getLogger(__name__)
 
 
 @attrs.frozen
-class _Doubted:
-    """A row as the store's copy had it, and what was known of it before.
+class _RevertedRow:
+    """A row that a restore of the store from a copy set back to an earlier state.
 
     Attributes
     ----------
     row : Row
-        As it came back.
-    known : Row or None
-        As it was in force; None if it had been removed.
+        The row in the restored store.
+    previous : Row or None
+        The row in force before the restore; None if it had been removed.
     """
 
     row: Row
-    known: Row | None
+    previous: Row | None
 
 
 @attrs.define(eq=False)
 class FollowedTable:
-    """Copy of a table that the store and other daemons keep up to date.
+    """Copy of a table that is updated by the store and by other daemons.
 
     Parameters
     ----------
     name : str
-        What is followed, for logs, and to peers.
+        Name of the table in logs and in messages between daemons.
     on_change : callable
-        Called with all rows by key, those that are held among them, whenever they
-        differ.
+        Called with all rows by key, including retained ones, whenever they change.
+    copy : TableReplica, optional
+        Rows according to the store, without retained ones.
     """
 
     name: str
     on_change: Callable[[dict[str, Row]], None]
     copy: TableReplica = attrs.field(factory=TableReplica)
     _grace_until: float = 0.0
-    _held: dict[str, Row] = attrs.field(factory=dict)
-    _doubted: dict[str, "_Doubted"] = attrs.field(factory=dict)
-    _shown: dict[str, Row] = attrs.field(factory=dict)
+    _retained: dict[str, Row] = attrs.field(factory=dict)
+    _reverted: dict[str, "_RevertedRow"] = attrs.field(factory=dict)
+    _published: dict[str, Row] = attrs.field(factory=dict)
 
     def apply_listing(self, batch: Batch) -> None:
-        """Take in all rows as the store listed them."""
-        self._take(lambda: self.copy.apply_listing(batch))
+        """Apply all rows as listed by the store."""
+        self._apply(lambda: self.copy.apply_listing(batch))
 
     def apply_changes(self, batch: Batch) -> None:
-        """Take in changes that the store told."""
-        self._take(lambda: self.copy.apply_changes(batch))
+        """Apply changes reported by the store."""
+        self._apply(lambda: self.copy.apply_changes(batch))
 
-    def apply_update(self, news: TableUpdate) -> bool:
-        """Take in what another daemon told; tell whether that was newer."""
-        return self._take(lambda: self.copy.apply_update(news))
+    def apply_update(self, update: TableUpdate) -> bool:
+        """Apply an update sent by another daemon; return whether it was newer."""
+        return self._apply(lambda: self.copy.apply_update(update))
 
-    # -- grace --------------------------------------------------------------------
+    # -- rows retained after an outage ----------------------------------------------
 
     @property
     def grace_left(self) -> float:
-        """Seconds for which rows that vanish are still held."""
+        """Seconds for which removed rows are still retained."""
         return max(0.0, self._grace_until - time.monotonic())
 
     def hold_for(self, seconds: float) -> None:
-        """Hold rows that vanish from now on, as the store was away until now."""
+        """Retain rows that are removed within some seconds, after a store outage."""
         self._grace_until = max(self._grace_until, time.monotonic() + seconds)
 
-    def _take(self, take_in):
+    def _apply(self, apply_to_copy):
         era, removed = era_of(self.copy.version), self.copy.removed
         is_known = bool(self.copy.version)
-        is_newer = take_in()
+        is_newer = apply_to_copy()
         if is_newer and is_known and era_of(self.copy.version) > era:
-            self._doubt(removed)
+            self._retain_reverted(removed)
         if is_newer:
-            self._hold_vanished()
-            self._show()
+            self._retain_removed()
+            self._publish()
         return is_newer
 
-    def _doubt(self, removed):
-        """Keep what was in force before the store came back from an older copy.
+    def _retain_reverted(self, removed):
+        """Keep the previous rows in force after the store was restored from a copy.
 
-        It lists rows as they were seconds ago: targets that have left since, or that
-        were not leaving yet. Whoever wrote them writes them again; a row that has
-        not changed by the end of the grace is taken as it is.
+        The copy is seconds old: it may list targets that have left since, or show
+        leaving targets as not leaving. Live writers write their rows again. A row that
+        is unchanged at the end of the grace period is used as it is.
         """
         self.hold_for(RETURN_GRACE_S)
         gevent.spawn_later(self.grace_left, self._release)
         rows = self.copy.rows
         was_removed = {
-            key: _Doubted(row, None) for key, row in rows.items() if key in removed
+            key: _RevertedRow(row, None) for key, row in rows.items() if key in removed
         }
         differs = {
-            key: _Doubted(row, self._shown[key])
+            key: _RevertedRow(row, self._published[key])
             for key, row in rows.items()
-            if key in self._shown and row.value != self._shown[key].value
+            if key in self._published and row.value != self._published[key].value
         }
-        self._doubted = was_removed | differs
+        self._reverted = was_removed | differs
         log.warning(
             "the store came back from a copy",
             extra={
                 "feed": self.name,
                 "era": era_of(self.copy.version),
-                "lost": sorted(self._shown.keys() - rows.keys()),
+                "lost": sorted(self._published.keys() - rows.keys()),
                 "older": sorted(differs),
                 "back": sorted(was_removed),
             },
         )
 
-    def _hold_vanished(self):
+    def _retain_removed(self):
         rows = self.copy.rows
         if self.grace_left <= 0:
             return
-        if not self._held:
+        if not self._retained:
             gevent.spawn_later(self.grace_left, self._release)
-        self._held |= {k: row for k, row in self._shown.items() if k not in rows}
+        self._retained |= {
+            k: row for k, row in self._published.items() if k not in rows
+        }
 
     def _release(self):
-        """Drop what was held and has not come back."""
+        """Drop the retained rows that were not written again."""
         if self.grace_left > 0:
-            # The store was away once more meanwhile.
+            # Another outage has extended the grace period.
             gevent.spawn_later(self.grace_left, self._release)
             return
-        gone = sorted(self._held.keys() - self.copy.rows.keys())
-        self._held = {}
-        self._doubted = {}
+        gone = sorted(self._retained.keys() - self.copy.rows.keys())
+        self._retained = {}
+        self._reverted = {}
         if gone:
-            log.info("rows did not come back", extra={"feed": self.name, "keys": gone})
-        self._show()
-
-    def _show(self):
-        shown = {**self._held, **self.copy.rows}
-        for key, doubted in self._doubted.items():
-            if self.copy.rows.get(key) is not doubted.row:
-                # It was written again, or removed.
+            log.info(
+                "dropped rows that were not written again after an outage",
+                extra={"feed": self.name, "keys": gone},
+            )
+        self._publish()
+
+    def _publish(self):
+        published = {**self._retained, **self.copy.rows}
+        for key, reverted in self._reverted.items():
+            if self.copy.rows.get(key) is not reverted.row:
+                # The row was written again or removed.
                 continue
-            if doubted.known is None:
-                del shown[key]
+            if reverted.previous is None:
+                del published[key]
             else:
-                shown[key] = doubted.known
-        if shown != self._shown:
-            self._shown = shown
-            self.on_change(shown)
+                published[key] = reverted.previous
+        if published != self._published:
+            self._published = published
+            self.on_change(published)
--- a/packages/entry/src/cairnferry/entry/following/_target_rows.py
+++ b/packages/entry/src/cairnferry/entry/following/_target_rows.py
@@ -1,4 +1,4 @@
-"""Rows that targets write of themselves, as they are read one by one."""
+"""Decoding of the rows that targets write about themselves."""
 
 import logging
 import time
@@ -10,14 +10,14 @@
 
 from cairnferry.coordination import Row
 from cairnferry.entry._ports import DecodeFault
-from cairnferry.entry.telemetry import FaultyRows
+from cairnferry.entry.telemetry import FaultyRowLog
 from cairnferry.records import Target
 
-# Seconds after which a row of an earlier start is believed: several times the interval
-# at which a living target writes its row.
-DOUBT_S = 5.0
-# Names of targets of which the latest start is kept in mind, also after their rows were
-# removed: several times the targets of the largest installation.
+# Seconds after which a row with an earlier start time is accepted: several times the
+# interval at which a live target writes its row.
+EARLIER_START_S = 5.0
+# Targets whose latest start time is remembered, including those whose rows were
+# removed: several times the number of targets of the largest installation.
 MAX_STARTS = 20_000
 
 log = logging.getLogger(__name__)
@@ -25,35 +25,36 @@
 
 @attrs.define
 class TargetRows:
-    """Turns rows into targets, each row once.
+    """Decodes rows into targets, each row once.
 
     Parameters
     ----------
     decode : callable
-        Reads a row, by its name and bytes.
-    faulty_rows : FaultyRows
+        Decodes a row, given its name and bytes.
+    faulty_rows : FaultyRowLog
         Counts and logs rows that cannot be read.
-    take_again : callable
-        Called with all rows once one of them is to be read in another way.
+    reapply : callable
+        Called with all rows once a row with an earlier start time is accepted.
 
     Attributes
     ----------
     in_force : dict of str to Target
-        Targets by the names of their rows.
+        Targets in force, by the names of their rows.
     warm_at : dict of str to float
-        Monotonic times in seconds to which those are cold whose rows say so.
+        Monotonic times in seconds at which targets with a warm-up time become warm, by
+        the names of their rows.
     """
 
     decode: Callable[[str, bytes], Result[Target, DecodeFault]]
-    faulty_rows: FaultyRows
-    take_again: Callable[[dict[str, Row]], None]
+    faulty_rows: FaultyRowLog
+    reapply: Callable[[dict[str, Row]], None]
     in_force: dict[str, Target] = attrs.field(factory=dict)
     warm_at: dict[str, float] = attrs.field(factory=dict)
     _rows: dict[str, Row] = attrs.field(factory=dict)
     _starts: dict[str, int] = attrs.field(factory=dict)
 
     def apply_rows(self, rows: dict[str, Row]) -> None:
-        """Take in all rows, by name."""
+        """Apply all rows, by name."""
         targets = {}
         for key, row in rows.items():
             if self._rows.get(key) is row:
@@ -68,7 +69,7 @@
         self._rows = rows
 
     def _read(self, key, value):
-        """Read a row; None if it cannot be read, and names no target to use."""
+        """Decode a row; return None if it yields no target to use."""
         decoded = self.decode(key, value)
         if decoded.is_error():
             self.faulty_rows.note("targets", key, str(decoded.error))
@@ -76,10 +77,13 @@
         target = decoded.ok
         known = self._starts.get(key, 0)
         if target.started_ms < known:
-            # A write of the earlier start that was under way when it ended. Taken, it
-            # would send requests to an address where that start no longer is.
-            log.info("row of an earlier start", extra={"target": key, "known": known})
-            gevent.spawn_later(DOUBT_S, self._trust, key, target)
+            # The row is a late write from before the target's restart. Its address may
+            # no longer be in use.
+            log.info(
+                "ignored a target row with an earlier start time",
+                extra={"target": key, "known": known},
+            )
+            gevent.spawn_later(EARLIER_START_S, self._accept_earlier_start, key, target)
             return self.in_force.get(key)
         self._starts[key] = target.started_ms
         self.warm_at.pop(key, None)
@@ -89,11 +93,12 @@
             del self._starts[next(iter(self._starts))]
         return target
 
-    def _trust(self, key, target):
-        """Take a row of an earlier start after all, if it still stands.
+    def _accept_earlier_start(self, key, target):
+        """Accept a row with an earlier start time if the store still lists it.
 
-        A living target would have written over it by now. One whose clock was set
-        back before it started again would else never be used.
+        A live target with the later start time would have overwritten it by now. So
+        the target's clock was set back before a restart, and the target would
+        otherwise never be used.
         """
         row = self._rows.get(key)
         if row is None or self.decode(key, row.value) != Ok(target):
@@ -101,7 +106,7 @@
         self._starts[key] = 0
         rows = dict(self._rows)
         del self._rows[key]
-        self.take_again(rows)
+        self.reapply(rows)
 
     def _log_changes(self, targets):
         before = {target.identity: target for target in self.in_force.values()}
--- a/packages/entry/src/cairnferry/entry/members/__init__.py
+++ b/packages/entry/src/cairnferry/entry/members/__init__.py
@@ -1,4 +1,4 @@
-"""The other daemons: who lives, what each tells, and which of them callers use."""
+"""Membership of the daemons, their gossip, and steering of callers to them."""
 
 from cairnferry.entry.members._cluster import Cluster, new_membership
 from cairnferry.entry.members._enrolment import Enrolment
@@ -6,11 +6,11 @@
 from cairnferry.entry.members._joining import JOIN_PATH, Joiner
 from cairnferry.entry.members._permit_issuers import PermitIssuer, PermitIssuers
 from cairnferry.entry.members._steering import Steering
-from cairnferry.entry.members._watcher_role import NO_STORE, WatcherRole
+from cairnferry.entry.members._watcher_role import STORE_UNREACHABLE, WatcherRole
 
 __all__ = [
     "JOIN_PATH",
-    "NO_STORE",
+    "STORE_UNREACHABLE",
     "Joiner",
     "WatcherRole",
     "Cluster",
--- a/packages/entry/src/cairnferry/entry/members/_cluster.py
+++ b/packages/entry/src/cairnferry/entry/members/_cluster.py
@@ -1,4 +1,4 @@
-"""View of all daemons that one of them has: membership, and how each fares."""
+"""One daemon's view of all daemons: membership, health and shared notes."""
 
 import logging
 import random
@@ -15,14 +15,16 @@
     Note,
     NoteRegistry,
 )
-from cairnferry.entry._ports import InForce, SharedTable
+from cairnferry.entry._ports import RulesStatus, SharedTable
 from cairnferry.entry.telemetry import RateLimit
 from cairnferry.peers import Heartbeat, TableState
 
-# A daemon whose last confirmed head is older than this may miss accepted
-# changes; callers are steered to others.
+# Age in seconds of the last confirmed head from which a daemon may lack accepted
+# changes. Callers are steered to other daemons from then on.
 STALE_HEAD_S = 10.0
+# Spare capacity of an idle daemon, in thousandths.
 FULL_SPARE = 1000
+# Spare capacity reported by a daemon to which callers must not be steered.
 STEER_AWAY = -1
 
 log = logging.getLogger(__name__)
@@ -30,16 +32,16 @@
 
 @attrs.define
 class PeerHealth:
-    """What a peer last said of itself.
+    """Health of a peer according to its last heartbeat.
 
     Attributes
     ----------
     revision : int
-        Revision in force there.
+        Revision in force at the peer.
     spare : int
-        Thousandths of its capacity that are free.
+        Spare capacity of the peer in thousandths, or `STEER_AWAY`.
     confirmed_at : float
-        Local time in seconds to which its head was confirmed.
+        Local monotonic time in seconds up to which the peer's head is confirmed.
     """
 
     revision: int
@@ -49,14 +51,14 @@
 
 @attrs.frozen
 class ListedInstance:
-    """What the platform's list says of a daemon.
+    """Entry instance in the list of the platform or of the registry.
 
     Attributes
     ----------
     zone : str
         Availability zone.
     leaving : bool
-        Whether its instance is about to be taken away.
+        Whether the platform is about to remove the instance.
     peer_address : str
         "IP:port" for other daemons.
     """
@@ -68,38 +70,40 @@
 
 @attrs.define
 class Cluster:
-    """Membership, the age of the head, and notes on targets.
+    """Membership, age of the confirmed head, and notes on targets.
 
     Parameters
     ----------
     membership : Membership
-        Who is there.
-    configuration : InForce
-        Tells the revision in force here.
+        Known members and their states.
+    configuration : RulesStatus
+        Reports the revision in force at this daemon.
     notes : NoteRegistry
         Notes on targets.
     spare : callable
-        Gives the share of the own capacity that is free, 0 to 1.
+        Returns the share of this daemon's capacity that is free, from 0 to 1.
+    confirmation : HeadConfirmation, optional
+        Time up to which the head is confirmed.
 
     Attributes
     ----------
-    listed : dict of str to ListedInstance
-        Instances that the platform or the registry lists, by name.
-    on_listed : callable
-        Called after `listed` was renewed.
     suspicions : NoteRegistry or None
-        Notes on requests under which targets ended.
+        Notes on requests that crashed targets.
     limits : NoteRegistry or None
-        Notes on limits that targets name.
+        Notes on limits that targets have set for themselves.
+    listed : dict of str to ListedInstance
+        Instances listed by the platform or the registry, by name.
     tables : dict of str to SharedTable
-        Copies of tables that daemons tell each other.
-    told_instances : int
-        Instances that there are by the word of the one by which this daemon joined, as
-        long as it has not heard of all of them.
+        Copies of the tables that daemons exchange.
+    reported_instances : int
+        Number of instances reported by the instance through which this daemon joined.
+        It is 0 once the complete list is known.
+    on_listed : callable
+        Called after `listed` has been replaced.
     """
 
     membership: Membership
-    configuration: InForce
+    configuration: RulesStatus
     notes: NoteRegistry
     spare: object
     confirmation: HeadConfirmation = attrs.field(factory=HeadConfirmation)
@@ -107,24 +111,24 @@
     limits: NoteRegistry | None = None
     listed: dict[str, ListedInstance] = attrs.field(factory=dict)
     tables: dict[str, SharedTable] = attrs.field(factory=dict)
-    told_instances: int = 0
+    reported_instances: int = 0
     on_listed: Callable[[], None] = lambda: None
     _health: dict[str, PeerHealth] = attrs.field(factory=dict)
 
-    def list_instances(self, listed: dict[str, ListedInstance]) -> None:
-        """Take in all that the platform or the registry lists."""
+    def set_listed(self, listed: dict[str, ListedInstance]) -> None:
+        """Replace the instances listed by the platform or the registry."""
         self.listed = listed
         self.on_listed()
 
     def heartbeat(self, zone: str) -> Heartbeat:
-        """Give what this daemon now tells one of an availability zone."""
+        """Return the heartbeat to send to a daemon of an availability zone."""
         now = time.monotonic()
         return Heartbeat(
             sender=self.membership.me,
             revision=self.configuration.revision,
             confirmed_age=self.confirmation.age(now),
             spare=self._own_spare(now),
-            news=tuple(self.membership.updates_for(zone)),
+            member_updates=tuple(self.membership.updates_for(zone)),
             notes=self.notes.next_notes(now),
             tables=tuple(
                 TableState(name, table.copy.version, table.grace_left)
@@ -135,35 +139,34 @@
         )
 
     def _own_spare(self, now):
-        """Give the free thousandths; STEER_AWAY if callers shall go elsewhere."""
-        if not self.is_sound(now):
+        """Return the spare capacity in thousandths, or STEER_AWAY if stale."""
+        if not self.is_up_to_date(now):
             return STEER_AWAY
         return int(self.spare() * FULL_SPARE)
 
-    def take_in(self, theirs: Heartbeat) -> bool:
-        """Learn from a heartbeat; give back whether there is news to pass on."""
+    def apply_heartbeat(self, theirs: Heartbeat) -> bool:
+        """Apply a peer's heartbeat; return whether it has updates to pass on."""
         now = time.monotonic()
-        fresh = self.membership.merge(theirs.sender, now)
-        for member in theirs.news:
-            fresh = self.membership.merge(member, now) or fresh
+        has_updates = self.membership.merge(theirs.sender, now)
+        for member in theirs.member_updates:
+            has_updates = self.membership.merge(member, now) or has_updates
         for note in theirs.notes:
-            fresh = self.post(note) or fresh
+            has_updates = self.post(note) or has_updates
         for note in theirs.suspicions:
-            fresh = self.post_suspicion(note) or fresh
+            has_updates = self.post_suspicion(note) or has_updates
         for note in theirs.limits:
-            fresh = self.post_limit(note) or fresh
+            has_updates = self.post_limit(note) or has_updates
         confirmed_at = now - theirs.confirmed_age
         health = PeerHealth(theirs.revision, theirs.spare, confirmed_at)
         self._health[theirs.sender.name] = health
         if theirs.revision == self.configuration.revision:
             self.confirmation.confirm(now, theirs.confirmed_age)
-        return fresh
+        return has_updates
 
-    def forget_old(self) -> None:
-        """Drop what was said by members that are forgotten, and lapsed notes.
+    def prune(self) -> None:
+        """Drop the health of members that are no longer known, and expired notes.
 
-        Instances are replaced all the time under new names; what they said would
-        pile up.
+        Replacement instances have new names, so that stale entries would accumulate.
         """
         self._health = {
             name: health
@@ -178,35 +181,35 @@
             self.limits.drop_expired(now)
 
     def post(self, note: Note) -> bool:
-        """Take in a note on a target; give back whether it was new."""
+        """Record a note on a target; return whether it was new."""
         members = len(self.membership.others())
         return self.notes.post(note, time.monotonic(), members)
 
     def post_suspicion(self, note: Note, again: bool = False) -> bool:
-        """Take in a note on a request under which targets ended; tell if it was new.
+        """Record a note on a request that crashed targets; return whether it was new.
 
         Parameters
         ----------
         note : Note
             The note.
         again : bool, optional
-            Whether to pass it on also if it is known.
+            Whether to pass the note on to peers even if it is already known.
         """
-        return self._post_on(self.suspicions, note, again)
+        return self._post_to(self.suspicions, note, again)
 
     def post_limit(self, note: Note, again: bool = False) -> bool:
-        """Take in a note on a limit that a target names; tell whether it was new.
+        """Record a note on a limit set by a target; return whether it was new.
 
         Parameters
         ----------
         note : Note
             The note.
         again : bool, optional
-            Whether to pass it on also if it is known.
+            Whether to pass the note on to peers even if it is already known.
         """
-        return self._post_on(self.limits, note, again)
+        return self._post_to(self.limits, note, again)
 
-    def _post_on(self, board, note, again):
+    def _post_to(self, board, note, again):
         if board is None:
             return False
         now = time.monotonic()
@@ -216,26 +219,27 @@
         return board.post(note, now, members)
 
     def count_instances(self) -> int:
-        """Count the instances that share common budgets, rather too many than too few.
+        """Return an upper estimate of the instances that share common budgets.
 
-        Members of other zones are not all known, and those that were lost may come
-        back: counted too low, all together would overspend.
+        Not all members of other zones are known, and lost members may return. With
+        too low a count all instances together would exceed the budgets.
         """
         members = len(self.membership.live())
-        return max(members, len(self.listed), self.told_instances, 1)
+        return max(members, len(self.listed), self.reported_instances, 1)
 
-    def is_sound(self, now: float) -> bool:
-        """Tell whether callers may be sent to this daemon."""
+    def is_up_to_date(self, now: float) -> bool:
+        """Return whether callers may be steered to this daemon."""
         config = self.configuration
         if config.revision == 0 or config.behind:
             return False
         return self.confirmation.age(now) < STALE_HEAD_S
 
     def usable(self, now: float) -> list[Member]:
-        """List the members to which callers may be sent.
+        """Return the members to which callers may be steered.
 
-        While nobody reaches the table, no daemon can be sure of its revision;
-        but nothing can be accepted either, so that all go on to be used.
+        While the platform's store is unreachable for all daemons, none of them can
+        confirm its revision, but no change can be accepted either. In that case all
+        live members are used.
         """
         live = self.membership.live()
         usable = [m for m in live if self._is_usable(m, now)]
@@ -243,7 +247,7 @@
 
     def _is_usable(self, member, now):
         if member.name == self.membership.me.name:
-            return self.is_sound(now)
+            return self.is_up_to_date(now)
         listed = self.listed.get(member.name)
         if listed is not None and listed.leaving:
             return False
@@ -252,24 +256,24 @@
             return True
         return health.spare != STEER_AWAY
 
-    def others_have_rules(self) -> bool:
-        """Tell whether a daemon was heard that has rules in force."""
+    def any_peer_has_rules(self) -> bool:
+        """Return whether a peer has reported that it has rules in force."""
         return any(health.revision for health in self._health.values())
 
     def spare_of(self, name: str) -> int:
-        """Give the thousandths of a member's capacity that are free."""
+        """Return the spare capacity of a member in thousandths."""
         if name == self.membership.me.name:
             return int(self.spare() * FULL_SPARE)
         health = self._health.get(name)
         return max(0, health.spare) if health else FULL_SPARE
 
     def snapshot(self) -> dict:
-        """Give the state for a dump, as plain values."""
+        """Return the state for a dump, as plain values."""
         now = time.monotonic()
         age = self.confirmation.age(now)
         members = [self.membership.me, *self.membership.others()]
         return {
-            "sound": self.is_sound(now),
+            "sound": self.is_up_to_date(now),
             "confirmed_head_age_s": None if age == float("inf") else round(age, 3),
             "members": [self._member_snapshot(m) for m in members],
             "notes": [
@@ -296,10 +300,17 @@
 
 
 def new_membership(name, zone, peer_address, caller_address) -> Membership:
-    """Start the membership of this daemon.
+    """Return the initial membership, which holds this daemon alone.
 
-    The incarnation is the time of the start, so that it is higher than that of
-    an earlier process of the same name.
+    The incarnation is the start time in milliseconds, so that it is higher than the
+    incarnation of an earlier process of the same name.
+
+    Parameters
+    ----------
+    name, zone : str
+        Name and availability zone of this daemon.
+    peer_address, caller_address : str
+        "IP:port" for other daemons and for callers.
     """
     me = Member(
         name=name,
@@ -309,17 +320,17 @@
         incarnation=time.time_ns() // 1_000_000,
         state=MemberState.ALIVE,
     )
-    return Membership(me, random.Random(), on_change=_MemberLog().note)
+    return Membership(me, random.Random(), on_change=_MemberLog().log_change)
 
 
 @attrs.define
 class _MemberLog:
-    """Writes a line for each member that is seen in another state."""
+    """Logs changes of the members' states at a limited rate."""
 
     _limit: RateLimit = attrs.field(factory=RateLimit)
 
-    def note(self, before: Member | None, member: Member) -> None:
-        """Write a line, up to a rate."""
+    def log_change(self, before: Member | None, member: Member) -> None:
+        """Log a member whose state has changed, unless the rate limit is reached."""
         if before is not None and before.state is member.state:
             return
         if not self._limit.allows():
@@ -331,6 +342,6 @@
                 "state": member.state.name.lower(),
                 "before": before.state.name.lower() if before else None,
                 "incarnation": member.incarnation,
-                "left_out": self._limit.take_left_out(),
+                "left_out": self._limit.take_suppressed(),
             },
         )
--- a/packages/entry/src/cairnferry/entry/members/_enrolment.py
+++ b/packages/entry/src/cairnferry/entry/members/_enrolment.py
@@ -1,4 +1,4 @@
-"""Finding the other daemons by a registry that all of them write to once."""
+"""Discovery of the other daemons by a registry to which each daemon is written once."""
 
 import json
 import logging
@@ -16,79 +16,83 @@
 from cairnferry.entry.http import Page
 from cairnferry.entry.members._cluster import Cluster, ListedInstance
 from cairnferry.entry.members._gossip import Gossip
-from cairnferry.entry.members._joining import Joiner, Welcome
+from cairnferry.entry.members._joining import Joiner, JoinReply
 from cairnferry.entry.members._watcher_role import SETTLE_S, WatcherRole
 from cairnferry.peers import KeyRing, SharedKey
 
-# Pause in seconds after a failed call, doubled up to the longest, with jitter: all
-# instances start within some 300 ms, and after an outage all try again.
+# First and longest pause in seconds after failed calls. The pause doubles and has
+# jitter: all instances start within some 300 ms, and all retry after an outage.
 RETRY_S = 0.2
 MAX_RETRY_S = 2.0
 
-# Seconds between two looks at whose rows are out of date.
+# Seconds between two checks for outdated rows.
 MAINTENANCE_S = 5.0
-# Seconds for which nobody has heard of an instance after which its row is removed: half
-# of the time for which members remember that it is gone, and longer than a restart.
-GONE_S = 60.0
+# Seconds without a sign of life from an instance after which its row is removed: half
+# of the time for which members remember a lost one, and longer than a restart.
+STALE_ROW_S = 60.0
 
-# Length of the shared key in bytes; twice the least that peers accept.
+# Length of the shared key in bytes; twice the minimum that peers accept.
 KEY_BYTES = 32
 
-# Seconds for which rows of instances that join are gathered: a whole installation
-# starts within some 300 ms, and each write has its price.
-GATHER_S = 0.3
-# Seconds after which an instance that finds no row of its own writes it itself: the one
-# by which it joined may be gone with it. Several times what a row needs to be written,
-# and to come here again.
+# Seconds for which rows of joining instances are collected before they are written. A
+# whole installation starts within some 300 ms, and each write is billed.
+BATCH_S = 0.3
+# Seconds after which an instance whose row is missing writes it itself. The instance
+# through which it joined may be lost, and the row with it. This is several times what
+# it takes to write a row and to receive it here.
 ROW_MISSING_S = 8.0
-# Seconds since the store was last heard of, by anyone, from which it is taken for away.
-STORE_AWAY_S = 9.0
-# Instances that are told to one that joins: enough that some live, of its own zone and
-# of each other. It hears of the rest from these.
-TOLD_NEAR = 16
-TOLD_FAR = 2
-# Instances that fetch what is in force from the one by which they joined, of all that
-# start at once; the others hear it in their zone.
-ASK_TELLER = 60
+# Age in seconds of the last confirmation by any daemon from which the store is assumed
+# to be unreachable.
+STORE_OUTAGE_S = 9.0
+# Instances listed in the reply to a joining instance, for its own zone and for each
+# other zone. Some of them are likely to be alive and report the rest.
+REPLY_SAME_ZONE = 16
+REPLY_OTHER_ZONE = 2
+# Expected number of instances, of all that start at once, that fetch the rules and
+# targets from the instance through which they joined. The others get them in their own
+# zone.
+DIRECT_FETCHES = 60
 
 log = logging.getLogger(__name__)
 
 
 @attrs.define
 class Enrolment:
-    """Enrols this instance and tells the others' addresses to the heartbeats.
+    """Enrols this instance in the registry and supplies gossip with peer addresses.
 
-    Who lives is decided by heartbeats: a row is written once, and removed when its
-    instance leaves, or by another one when it is long gone. Rows that stayed would be
-    called in vain by each daemon that starts, and each would make the others' part of
-    the common budgets smaller.
+    Heartbeats decide which instances are alive. A row is written once. It is removed
+    when its instance leaves, or by another instance once its instance has been lost
+    for long. Each daemon that starts would call the address of a stale row in vain,
+    and each stale row would reduce the other instances' shares of common budgets.
 
-    Most instances join by another one, which writes the rows of many at once: 312 that
-    start together would else make some 1,200 calls before the first request.
+    Most instances join through another one, which writes the rows of many instances at
+    once. Otherwise 312 instances that start together would make some 1,200 calls
+    before the first request.
 
     Parameters
     ----------
     registry : Registry
         The registry.
     me : EntryRow
-        This instance.
+        Row of this instance.
     keys : SharedKey or KeyRing
-        Gets the key of the daemons, if the registry holds it.
+        Receives the daemons' shared key if the registry holds one.
     cluster : Cluster
-        Gets the list of instances.
+        Receives the list of instances.
     gossip : Gossip
-        Gets the addresses.
+        Receives the addresses of peers.
     rng : random.Random
-        For jitter.
+        Random numbers for jitter.
     joiner : Joiner, optional
-        Asks other instances; without it the registry alone is asked.
-    duty : WatcherRole, optional
-        Told when this instance knows of the others.
+        Joins through other instances; without it only the registry is used.
+    watcher_role : WatcherRole, optional
+        Set ready once this instance knows the others.
 
     Attributes
     ----------
     joined_by : str or None
-        Address of the instance by which this one joined; None if it enrolled itself.
+        Address of the instance through which this one joined; None if this instance
+        enrolled itself.
     """
 
     registry: Registry
@@ -98,65 +102,64 @@
     gossip: Gossip
     rng: random.Random
     joiner: Joiner | None = None
-    duty: WatcherRole | None = None
+    watcher_role: WatcherRole | None = None
     joined_by: str | None = None
     _incarnation: int = 0
     _is_leaving: bool = False
     _missing_since: dict[str, float] = attrs.field(factory=dict)
     _removed: set[str] = attrs.field(factory=set)
     _entries: dict[str, EntryRow] = attrs.field(factory=dict)
-    _joining: dict[str, EntryRow] = attrs.field(factory=dict)
-    _is_gathering: bool = False
+    _pending: dict[str, EntryRow] = attrs.field(factory=dict)
+    _is_writing: bool = False
     _listed_at: float = attrs.field(factory=time.monotonic)
 
     def run(self) -> None:
-        """Try until this instance is enrolled, then keep the rows up to date."""
+        """Enrol this instance, with retries, then maintain the registry's rows."""
         self.enrol()
         while True:
             gevent.sleep(MAINTENANCE_S)
-            self.keep(time.monotonic())
+            self.maintain(time.monotonic())
 
     def enrol(self) -> None:
-        """Try until this instance is enrolled."""
+        """Enrol this instance, with retries until it succeeds."""
         if self.joiner is None or self.joiner.is_first:
-            # Nobody else can be asked who watches the store.
-            self._begin_duty(-math.inf)
+            # This instance gets no member list from another one.
+            self._allow_watching(-math.inf)
         pause = RETRY_S
         while not self._join() and not self._enrol():
             gevent.sleep(pause * (0.5 + self.rng.random()))
             pause = min(MAX_RETRY_S, 2 * pause)
-        self._begin_duty(time.monotonic())
+        self._allow_watching(time.monotonic())
 
-    def _begin_duty(self, joined_at):
-        if self.duty is not None and not self.duty.is_ready:
-            self.duty.joined_at = joined_at
-            self.duty.is_ready = True
+    def _allow_watching(self, joined_at):
+        if self.watcher_role is not None and not self.watcher_role.is_ready:
+            self.watcher_role.joined_at = joined_at
+            self.watcher_role.is_ready = True
             self.gossip.cross_zone_after = joined_at + SETTLE_S
 
     def _join(self):
-        """Join by another instance, if there is one that is known from the start."""
-        welcome = self.joiner and self.joiner.ask(self.me)
-        if welcome is None:
+        """Join through an instance known from the settings; return the success."""
+        reply = self.joiner and self.joiner.request(self.me)
+        if reply is None:
             return False
         self._incarnation = self.cluster.membership.me.incarnation
-        self.joined_by = welcome.told_by
-        self.keys.set(welcome.key)
-        self.cluster.told_instances = welcome.instances
-        self.take_entries(welcome.entries)
-        # What is in force is some 80 KB at 300 targets, and the teller may be far.
-        asks_teller = self.rng.random() < ASK_TELLER / max(1, welcome.instances)
-        self.gossip.meet(welcome.entries[0] if asks_teller else None)
-        log.info(
-            "joined", extra={"by": welcome.told_by, "others": len(welcome.entries)}
-        )
+        self.joined_by = reply.responder
+        self.keys.set(reply.key)
+        self.cluster.reported_instances = reply.instances
+        self.apply_entries(reply.entries)
+        # The rules and targets are some 80 KB at 300 targets, and the responder may be
+        # in another zone.
+        fetches_directly = self.rng.random() < DIRECT_FETCHES / max(1, reply.instances)
+        self.gossip.contact_listed_peers(reply.entries[0] if fetches_directly else None)
+        log.info("joined", extra={"by": reply.responder, "others": len(reply.entries)})
         return True
 
     def _write(self):
-        """Write the own row, and a key if nobody has written one.
+        """Write this instance's row, and a shared key if the registry has none.
 
-        All daemons start at the same moment, and each would make a key of its own:
-        they would refuse each other. The registry takes the first one, and later ones
-        learn it by reading.
+        All daemons start at the same moment. If each generated a key of its own, they
+        would refuse each other. The registry accepts the first key only, and the other
+        daemons read it.
         """
         written = self.registry.write_first(self.me, os.urandom(KEY_BYTES))
         if written.is_error() and isinstance(written.error, KeyExists):
@@ -171,25 +174,25 @@
             return False
         if enrolled.ok.key is not None:
             self.keys.set(enrolled.ok.key)
-        self.take_entries(enrolled.ok.entries)
-        self.gossip.meet()
+        self.apply_entries(enrolled.ok.entries)
+        self.gossip.contact_listed_peers()
         log.info("enrolled", extra={"others": len(self.gossip.listed_peers)})
         return True
 
     def refresh(self) -> None:
-        """Read once who is listed, where the platform itself keeps the registry."""
+        """Read the list of instances once, for a registry that the platform keeps."""
         enrolled = self.registry.read()
         if enrolled.is_error():
             log.debug("registry not read", extra={"why": str(enrolled.error)})
             return
-        self.take_entries(enrolled.ok.entries)
+        self.apply_entries(enrolled.ok.entries)
 
-    def take_entries(self, entries: Collection[EntryRow]) -> None:
-        """Take in who is listed."""
+    def apply_entries(self, entries: Collection[EntryRow]) -> None:
+        """Apply a list of instances, which may be partial."""
         now = time.monotonic()
-        gone = self._long_gone(now)
+        gone = self._find_stale(now)
         kept = [entry for entry in entries if entry.name not in gone]
-        self.cluster.list_instances(
+        self.cluster.set_listed(
             {e.name: ListedInstance(e.zone, e.leaving, e.peer_address) for e in kept}
         )
         self.gossip.listed_peers = {
@@ -201,100 +204,107 @@
         if self.me.name in self._entries:
             self._listed_at = now
 
-    def take_all(self, entries: Collection[EntryRow]) -> None:
-        """Take in who is listed, where these are known to be all."""
-        self.cluster.told_instances = 0
-        self.take_entries(entries)
+    def apply_all_entries(self, entries: Collection[EntryRow]) -> None:
+        """Apply the complete list of instances."""
+        self.cluster.reported_instances = 0
+        self.apply_entries(entries)
 
-    # -- instances that join by this one ------------------------------------------
+    # -- instances that join through this one --------------------------------------
 
-    def welcome(self, newcomer: EntryRow) -> Welcome | None:
-        """Take in an instance that joins; None if this one is not enrolled itself."""
+    def accept(self, joining: EntryRow) -> JoinReply | None:
+        """Let an instance join; return None if this one is not enrolled itself."""
         if not self.keys.is_set:
             return None
-        self._joining[newcomer.name] = newcomer
-        if not self._is_gathering:
-            self._is_gathering = True
+        self._pending[joining.name] = joining
+        if not self._is_writing:
+            self._is_writing = True
             gevent.spawn(self._write_joining)
-        known = self._entries | self._joining
+        known = self._entries | self._pending
         others = known.values()
-        told = self._some(others, newcomer, same_zone=True, count=TOLD_NEAR)
-        told += self._some(others, newcomer, same_zone=False, count=TOLD_FAR)
+        selected = self._select(others, joining, same_zone=True, count=REPLY_SAME_ZONE)
+        selected += self._select(
+            others, joining, same_zone=False, count=REPLY_OTHER_ZONE
+        )
         count = len(known | {self.me.name: self.me})
-        return Welcome(self.keys.own(), (self.me, *told), self.me.peer_address, count)
+        return JoinReply(
+            self.keys.own_key(), (self.me, *selected), self.me.peer_address, count
+        )
 
     def join_page(self, body: bytes) -> Page:
-        """Answer an instance that asks to join, by its row."""
+        """Answer an instance's request to join, whose body is its row."""
         try:
-            newcomer = EntryRow(**json.loads(body))
+            joining = EntryRow(**json.loads(body))
         except (ValueError, TypeError) as exc:
-            log.warning("join", extra={"why": f"{type(exc).__name__}: {exc}"})
+            log.warning(
+                "join request cannot be read",
+                extra={"why": f"{type(exc).__name__}: {exc}"},
+            )
             return Page.of("400 Bad Request", {"error": "no row of an instance"})
-        welcome = self.welcome(newcomer)
-        if welcome is None:
+        reply = self.accept(joining)
+        if reply is None:
             return Page.of("503 Service Unavailable", {"error": "not enrolled yet"})
-        return Page.of("200 OK", welcome.to_json())
+        return Page.of("200 OK", reply.to_json())
 
-    def _some(self, others, newcomer, same_zone, count):
-        """Choose some of each zone; the last to join are likely to live."""
+    def _select(self, others, joining, same_zone, count):
+        """Select entries of each zone; the last ones to join are likely alive."""
         by_zone = {}
         for entry in others:
-            is_same = entry.zone == newcomer.zone
-            if entry.name not in (newcomer.name, self.me.name) and is_same == same_zone:
+            is_same = entry.zone == joining.zone
+            if entry.name not in (joining.name, self.me.name) and is_same == same_zone:
                 by_zone.setdefault(entry.zone, []).append(entry)
         return [entry for found in by_zone.values() for entry in found[-count:]]
 
     def _write_joining(self):
-        """Write the rows of those that joined, until that is done."""
-        pause = GATHER_S
-        while self._joining:
+        """Write the rows of instances that joined, with retries until it succeeds."""
+        pause = BATCH_S
+        while self._pending:
             gevent.sleep(pause * (0.5 + self.rng.random()))
-            rows = dict(self._joining)
+            rows = dict(self._pending)
             written = self.registry.write_all(rows.values())
             if written.is_error():
                 log.info("rows not written", extra={"why": str(written.error)})
                 pause = min(MAX_RETRY_S, 2 * pause)
                 continue
-            pause = GATHER_S
+            pause = BATCH_S
             log.info("rows written", extra={"instances": len(rows)})
             self._entries |= rows
             for name, row in rows.items():
-                if self._joining[name] is row:
-                    del self._joining[name]
-        self._is_gathering = False
+                if self._pending[name] is row:
+                    del self._pending[name]
+        self._is_writing = False
 
-    # -- rows that are out of date ------------------------------------------------
+    # -- outdated rows -------------------------------------------------------------
 
-    def keep(self, now: float) -> None:
-        """Remove rows of instances that are long gone, and restore the own one.
+    def maintain(self, now: float) -> None:
+        """Remove stale rows of other instances, and restore this instance's row.
 
         Parameters
         ----------
         now : float
             Monotonic time in seconds.
         """
-        self._restore(now)
-        gone = self._long_gone(now)
+        self._restore_row(now)
+        gone = self._find_stale(now)
         zone = self.me.zone
         live = [m for m in self.cluster.membership.live() if m.zone == zone]
-        # An instance that is cut off from the others sees all of them gone. Were it to
-        # remove their rows, daemons that start then would find it alone; were it to
-        # forget them, it would take the whole of the common budgets for itself.
+        # To an instance that is partitioned from the others, all of them look lost. If
+        # it removed their rows, daemons that start then would find only this one. If it
+        # dropped them from the list, it would claim the common budgets for itself.
         if len(live) <= len(self._missing_since.keys() - self._removed):
             return
         for name in gone:
             self.cluster.listed.pop(name, None)
         is_first = bool(live) and live[0].name == self.me.name
         if is_first and self.joiner is not None and self.keys.is_set:
-            # A store that came back from a copy may lack it: daemons that start then
-            # would make another one, and be refused by all others.
-            self.registry.restore_key(self.keys.own())
+            # A store that was restored from a copy may lack the key. Daemons that start
+            # then would generate another key, and all others would refuse them.
+            self.registry.restore_key(self.keys.own_key())
         left = gone - self._removed
         if left and is_first and self._remove(left):
             self._removed |= left
 
     def leave(self) -> None:
-        """Remove the own row; a row that stays is removed by others later."""
+        """Remove this instance's row; after a failure others remove it later."""
         self._is_leaving = True
         self._remove({self.me.name})
 
@@ -306,15 +316,15 @@
         log.info("rows removed", extra={"instances": sorted(names)})
         return True
 
-    def _restore(self, now):
-        """Write the own row again if it is missing.
+    def _restore_row(self, now):
+        """Write this instance's row again if it is missing.
 
-        Others may have called this instance gone and removed it while it was cut off
-        from them, or the one by which it joined may have been lost before it wrote the
-        row: daemons that start later would not find it.
+        Other instances may have removed the row during a partition, or the instance
+        through which this one joined was lost before it wrote the row. Daemons that
+        start later would not find this instance.
         """
         incarnation = self.cluster.membership.me.incarnation
-        if self._is_leaving or self._is_followed():
+        if self._is_leaving or self._is_listed():
             return
         if incarnation == self._incarnation and not self._is_missing(now):
             return
@@ -322,18 +332,18 @@
             self._incarnation = incarnation
             self._listed_at = now
 
-    def _is_followed(self):
-        """Tell whether the table of instances is followed here and has the own row."""
+    def _is_listed(self):
+        """Return whether the table of instances is followed and lists this one."""
         return self.joiner is not None and self.me.name in self._entries
 
     def _is_missing(self, now):
-        """Tell whether no row of this instance is there, as far as can be known."""
+        """Return whether this instance's row appears to be missing in the store."""
         if self.joiner is None or now - self._listed_at < ROW_MISSING_S:
             return False
-        return self.cluster.confirmation.age(now) < STORE_AWAY_S
+        return self.cluster.confirmation.age(now) < STORE_OUTAGE_S
 
-    def _long_gone(self, now):
-        """Give the names of the own zone that nobody has heard of for long."""
+    def _find_stale(self, now):
+        """Return the names of lost instances of this zone whose rows are stale."""
         members = self.cluster.membership.others()
         zone = self.me.zone
         present = {m.name for m in members if m.state is not MemberState.GONE}
@@ -345,4 +355,6 @@
         self._missing_since = {
             name: self._missing_since.get(name, now) for name in names
         }
-        return {n for n, since in self._missing_since.items() if now - since >= GONE_S}
+        return {
+            n for n, since in self._missing_since.items() if now - since >= STALE_ROW_S
+        }
--- a/packages/entry/src/cairnferry/entry/members/_gossip.py
+++ b/packages/entry/src/cairnferry/entry/members/_gossip.py
@@ -1,4 +1,4 @@
-"""Heartbeats with peers: rounds of calls, and answers to theirs."""
+"""Gossip by heartbeats: periodic calls to peers, and answers to their calls."""
 
 import logging
 import math
@@ -17,59 +17,64 @@
     Heartbeat,
     PeerCallFailed,
     PeerLinks,
-    PermitsGiven,
-    PermitsWanted,
+    PermitQuery,
+    PermitReply,
 )
 
+# Seconds after which an unused connection to a peer is closed.
 UNUSED_LINK_S = 60.0
+# Calls to peers in progress at the same time.
 MAX_CALLS = 32
-# Rounds between two tries of addresses that are not known to be alive, and tries at
-# once: after a partition one that gets through is enough, as it tells of the others.
-STRANGER_ROUNDS = 4
-MAX_STRANGERS = 6
-# Least seconds between two rounds. News comes in bursts when many daemons start or
-# targets change, and each would else begin a round of its own.
+# Rounds between two attempts at addresses that are not known to be alive.
+UNKNOWN_PEER_ROUNDS = 4
+# Such addresses called in one round. After a partition one successful call is enough,
+# as that peer reports the others.
+MAX_UNKNOWN_PEERS = 6
+# Minimum seconds between two rounds. Updates come in bursts when many daemons start or
+# targets change, and each of them would start a round.
 MIN_ROUND_S = 0.02
-# First members of a zone, by rank, that also call other zones. One is enough; with two
-# news goes on while one of them is lost and that is not known yet.
-FAR_CALLERS = 2
+# Members of a zone, by rank, that also call other zones. One would be enough; with two,
+# updates continue to spread while the loss of one of them is not yet detected.
+CROSS_ZONE_CALLERS = 2
 
 log = logging.getLogger(__name__)
 
 
 @attrs.define
 class Gossip:
-    """Spreads and gathers what daemons know.
+    """Exchanges state among daemons.
 
-    Each calls some of its own availability zone in each round. The first of a zone, by
-    rank, call other zones as well, where bytes have a price.
+    In each round, a daemon calls some peers of its own availability zone. Only the
+    first members of a zone, by rank, call other zones, as traffic between zones is
+    billed.
 
     Parameters
     ----------
     cluster : Cluster
         This daemon's view.
     records : Records
-        Fetches revisions from peers that have newer ones.
+        Fetches newer revisions from peers.
     links : PeerLinks
         Connections to peers.
     interval : float
         Seconds between two rounds.
     fanout : int
-        Peers of the own zone called in a round.
+        Peers of this daemon's zone called in a round.
     seeds : tuple of str
-        Addresses to try when the list is not to be had.
+        "IP:port" of daemons to call even if they are not listed.
 
     Attributes
     ----------
-    strangers : dict of str to str
-        Availability zones by address of daemons that are listed; all of them are
-        there, also those that are gone.
-    settled_at : float
-        Monotonic time in seconds up to which other zones are not called: a daemon that
-        has just joined knows a part of its zone, and would tell the others of members
-        that are not to represent it.
+    listed_peers : dict of str to str
+        Availability zones of all listed daemons, alive or not, by address.
+    cross_zone_after : float
+        Monotonic time in seconds up to which other zones are not called. A daemon that
+        has just joined knows a part of its zone only, and would report members to the
+        other zones that do not represent it.
     permits : callable
-        Gives a daemon permits for limited targets, by its name and what it asks for.
+        Issues permits for limited targets to a daemon, given its name and its request.
+    rounds : int
+        Number of rounds so far.
     """
 
     cluster: Cluster
@@ -80,17 +85,17 @@
     seeds: tuple[str, ...]
     listed_peers: dict[str, str] = attrs.field(factory=dict)
     cross_zone_after: float = -math.inf
-    permits: Callable[[str, list[PermitsWanted]], list[PermitsGiven]] = (
-        lambda asker, wanted: []
+    permits: Callable[[str, list[PermitQuery]], list[PermitReply]] = (
+        lambda requester, wanted: []
     )
-    _wants_strangers: bool = False
+    _contact_unknown: bool = False
     rounds: int = 0
     _round_due: Event = attrs.field(factory=Event)
     _calls: Pool = attrs.field(factory=lambda: Pool(MAX_CALLS))
-    _asking: set[str] = attrs.field(factory=set)
+    _fetching: set[str] = attrs.field(factory=set)
 
     def run(self) -> None:
-        """Call peers, round after round."""
+        """Run rounds of calls to peers, forever."""
         while True:
             self.one_round()
             gevent.sleep(MIN_ROUND_S)
@@ -98,27 +103,29 @@
             self._round_due.clear()
 
     def trigger_round(self) -> None:
-        """Start the next round at once: there is news that others wait for."""
+        """Start the next round without delay, as there are updates to spread."""
         self._round_due.set()
 
-    def meet(self, teller: EntryRow | None = None) -> None:
-        """Call those that this daemon has just been told of, at once.
+    def contact_listed_peers(self, fetch_from: EntryRow | None = None) -> None:
+        """Call some of the listed daemons without delay.
 
-        A daemon that waited for the round in which strangers are tried would refuse
-        every request until then, as it gets its first rules from these.
+        A daemon that starts gets its first rules from them. If it waited for the next
+        round that calls unknown members, it would refuse every request until then.
 
         Parameters
         ----------
-        teller : EntryRow, optional
-            One that is sure to know what is in force.
+        fetch_from : EntryRow, optional
+            A daemon that is known to have the rules in force; called first.
         """
-        self._wants_strangers = True
-        if teller is not None:
-            self._calls.spawn(self._call, None, teller.peer_address, teller.zone)
+        self._contact_unknown = True
+        if fetch_from is not None:
+            self._calls.spawn(
+                self._call, None, fetch_from.peer_address, fetch_from.zone
+            )
         self.trigger_round()
 
     def one_round(self) -> None:
-        """Call some peers, each in a task of its own."""
+        """Call some peers, each in a separate greenlet."""
         now = time.monotonic()
         self.rounds += 1
         membership = self.cluster.membership
@@ -126,26 +133,26 @@
         chosen = membership.next_peers(self.fanout)
         calls = [(member.name, member.peer_address, member.zone) for member in chosen]
         if self._calls_other_zones(now):
-            calls += self._far_calls()
-        if self._wants_strangers or self.rounds % STRANGER_ROUNDS == 1:
-            self._wants_strangers = False
-            calls += self._stranger_calls()
+            calls += self._cross_zone_calls()
+        if self._contact_unknown or self.rounds % UNKNOWN_PEER_ROUNDS == 1:
+            self._contact_unknown = False
+            calls += self._unknown_peer_calls()
         for call in calls:
-            # A full pool means that many calls hang; waiting for them would
-            # stop the rounds, and others would think this daemon dead.
+            # A full pool means that many calls hang. Waiting for them would stop the
+            # rounds, and peers would consider this daemon lost.
             if not self._calls.full():
                 self._calls.spawn(self._call, *call)
         self.links.close_unused(now - UNUSED_LINK_S)
-        self.cluster.forget_old()
+        self.cluster.prune()
 
     def _calls_other_zones(self, now):
         if now < self.cross_zone_after:
             return False
         membership = self.cluster.membership
-        return membership.me.name in membership.own_zone_names()[:FAR_CALLERS]
+        return membership.me.name in membership.own_zone_names()[:CROSS_ZONE_CALLERS]
 
-    def _far_calls(self):
-        """Call one of another zone, and one of a zone of which nobody is known."""
+    def _cross_zone_calls(self):
+        """List a call to another zone, and one to a zone without known members."""
         member = self.cluster.membership.next_cross_zone_peer()
         calls = [(member.name, member.peer_address, member.zone)] if member else []
         me = self.cluster.membership.me.zone
@@ -155,10 +162,10 @@
             for address, zone in self.listed_peers.items()
             if zone != me and zone not in live
         ]
-        return calls + self._some(unknown, 1)
+        return calls + self._sample(unknown, 1)
 
-    def _stranger_calls(self):
-        """Call addresses worth a try although no live member is known there."""
+    def _unknown_peer_calls(self):
+        """List calls to addresses at which no live member is known."""
         me = self.cluster.membership.me
         others = self.cluster.membership.others()
         alive = {m.peer_address for m in others if m.state is not MemberState.GONE}
@@ -166,73 +173,73 @@
         near = [a for a, zone in (self.listed_peers | gone).items() if zone == me.zone]
         candidates = [a for a in near if a not in alive and a != me.peer_address]
         seeds = [a for a in self.seeds if a not in alive and a != me.peer_address]
-        chosen = self._some(sorted(candidates), MAX_STRANGERS)
+        chosen = self._sample(sorted(candidates), MAX_UNKNOWN_PEERS)
         return [(None, address, me.zone) for address in (*seeds, *chosen)]
 
-    def _some(self, calls, count):
+    def _sample(self, calls, count):
         rng = self.cluster.membership.rng
         return rng.sample(calls, count) if len(calls) > count else calls
 
     def _call(self, name, address, zone):
-        link = self.links.to(address, zone != self.cluster.membership.me.zone)
+        link = self.links.link_to(address, zone != self.cluster.membership.me.zone)
         try:
             theirs = link.heartbeat(self.cluster.heartbeat(zone))
-            self._learn(theirs, link)
+            self._apply_and_fetch(theirs, link)
         except PeerCallFailed as exc:
             if name is not None:
                 self.cluster.membership.suspect(name, time.monotonic())
             log.debug("heartbeat failed", extra={"peer": address, "why": exc.reason})
 
-    def _learn(self, theirs: Heartbeat, link):
-        """Take in a heartbeat, and fetch what its sender has and this daemon has not.
+    def _apply_and_fetch(self, theirs: Heartbeat, link):
+        """Apply a heartbeat, and fetch newer rules and tables from its sender.
 
         Raises
         ------
         PeerCallFailed
             If the sender did not answer.
         """
-        fresh = self.cluster.take_in(theirs)
+        has_updates = self.cluster.apply_heartbeat(theirs)
         before = self.cluster.configuration.revision
         if theirs.revision > before:
             self.records.pull_from(link, theirs.revision)
-            self.cluster.take_in(theirs)
-        fresh = self._fetch_tables(theirs, link) or fresh
-        if fresh or self.cluster.configuration.revision > before:
+            self.cluster.apply_heartbeat(theirs)
+        has_updates = self._fetch_tables(theirs, link) or has_updates
+        if has_updates or self.cluster.configuration.revision > before:
             self.trigger_round()
 
     def _fetch_tables(self, theirs, link):
-        fresh = False
+        has_updates = False
         for state in theirs.tables:
             table = self.cluster.tables.get(state.table)
             if table is None:
                 continue
             if state.grace_s:
                 table.hold_for(state.grace_s)
-            if state.version > table.copy.version and state.table not in self._asking:
-                fresh = self._fetch_table(state.table, table, link) or fresh
-        return fresh
+            if state.version > table.copy.version and state.table not in self._fetching:
+                has_updates = self._fetch_table(state.table, table, link) or has_updates
+        return has_updates
 
     def _fetch_table(self, name, table, link):
-        """Fetch what is new in a table; one peer at a time is asked for it."""
-        self._asking.add(name)
+        """Fetch the updates of a table, from one peer at a time."""
+        self._fetching.add(name)
         try:
             return table.apply_update(link.news_since(name, table.copy.version))
         finally:
-            self._asking.discard(name)
+            self._fetching.discard(name)
 
     # -- calls of peers ---------------------------------------------------------
 
     def heartbeat(self, theirs: Heartbeat) -> Heartbeat:
         """Answer a peer's heartbeat."""
-        fresh = self.cluster.take_in(theirs)
-        if self._knows_more(theirs):
-            # Its answer must not wait for the fetching.
+        has_updates = self.cluster.apply_heartbeat(theirs)
+        if self._is_ahead(theirs):
+            # The answer must not wait for the fetch.
             gevent.spawn(self._fetch, theirs)
-        if fresh:
+        if has_updates:
             self.trigger_round()
         return self.cluster.heartbeat(theirs.sender.zone)
 
-    def _knows_more(self, theirs):
+    def _is_ahead(self, theirs):
         if theirs.revision > self.cluster.configuration.revision:
             return True
         tables = self.cluster.tables
@@ -242,34 +249,37 @@
         )
 
     def _fetch(self, theirs):
-        is_far = theirs.sender.zone != self.cluster.membership.me.zone
-        link = self.links.to(theirs.sender.peer_address, is_far)
+        is_cross_zone = theirs.sender.zone != self.cluster.membership.me.zone
+        link = self.links.link_to(theirs.sender.peer_address, is_cross_zone)
         try:
-            self._learn(theirs, link)
+            self._apply_and_fetch(theirs, link)
         except PeerCallFailed as exc:
-            log.info("pull failed", extra={"peer": exc.address, "why": exc.reason})
+            log.info(
+                "pull from a peer failed",
+                extra={"peer": exc.address, "why": exc.reason},
+            )
 
     def news_since(self, table: str, version: int) -> TableUpdate:
-        """Give what a copy of a table lacks that has the version."""
+        """Return the updates of a table since a version."""
         known = self.cluster.tables.get(table)
         if known is None:
             return TableUpdate(False, (), 0)
         return known.copy.news_since(version)
 
     def issue_permits(
-        self, asker: str, wanted: list[PermitsWanted]
-    ) -> list[PermitsGiven]:
-        """Give a daemon permits to send to limited targets."""
-        return self.permits(asker, wanted)
+        self, requester: str, wanted: list[PermitQuery]
+    ) -> list[PermitReply]:
+        """Issue permits for limited targets to a daemon."""
+        return self.permits(requester, wanted)
 
     def rows_from(self, first: int) -> list[LogRow]:
-        """Give rows of the log held here."""
+        """Return the rows of the change log from a revision on."""
         return self.records.rows_from(first)
 
     def document_since(self, revision: int) -> DocumentNews:
-        """Give what a peer lacks of the rules that holds a revision."""
+        """Return the update of the rules for a peer that holds a revision."""
         return self.records.document_since(revision)
 
     def snapshot(self) -> bytes:
-        """Give the records in force here."""
+        """Return the records in force at this daemon."""
         return self.records.snapshot()
--- a/packages/entry/src/cairnferry/entry/members/_permit_issuers.py
+++ b/packages/entry/src/cairnferry/entry/members/_permit_issuers.py
@@ -1,4 +1,4 @@
-"""Which daemon gives the permits for a limited target."""
+"""Selection of the daemon that issues the permits for a limited target."""
 
 import time
 from collections.abc import Iterable
@@ -8,19 +8,19 @@
 from cairnferry.coordination import MemberState, lowest_ranked
 from cairnferry.entry.members._cluster import Cluster
 
-# Seconds for which one that did not answer is passed over. Its zone knows sooner, and
-# the next one of it gives permits then.
-DOUBT_S = 2.0
+# Seconds for which an issuer that did not answer is skipped. Its own zone detects the
+# loss earlier, so that the next daemon by rank issues permits by then.
+UNRESPONSIVE_S = 2.0
 
 
 @attrs.frozen
 class PermitIssuer:
-    """A daemon that gives permits.
+    """A daemon that issues permits.
 
     Attributes
     ----------
     name, zone, peer_address : str
-        Its name, availability zone, and "IP:port" for other daemons.
+        Name, availability zone, and "IP:port" for other daemons.
     """
 
     name: str
@@ -30,49 +30,56 @@
 
 @attrs.define
 class PermitIssuers:
-    """Finds the one by rank, in the target's availability zone.
+    """Selects the issuer of a target by rank, in the target's availability zone.
 
-    The daemons of a zone know each other in full and hear soon who is lost. Those of
-    other zones go by the platform's list; whoever they ask gives nothing unless it is
-    the first of its zone by its own view.
+    The daemons of a zone know all members of the zone and detect a loss soon. Daemons
+    of other zones use the platform's list. A daemon issues no permits unless it is the
+    first of its zone in its own view.
 
     Parameters
     ----------
     cluster : Cluster
-        Who is there.
+        Members and listed instances.
     """
 
     cluster: Cluster
-    _doubted: dict[str, float] = attrs.field(factory=dict)
+    _unresponsive: dict[str, float] = attrs.field(factory=dict)
 
     def issuer_for(self, target: str, zone: str) -> PermitIssuer | None:
-        """Give the one to ask about a target; None if nobody is left."""
+        """Return the issuer of a target; None if no candidate is left."""
         now = time.monotonic()
         names = [
             name
             for name in self._candidates(zone)
-            if self._doubted.get(name, now) <= now
+            if self._unresponsive.get(name, now) <= now
         ]
         first = lowest_ranked(target, names, 1)
-        return self._giver(first[0]) if first else None
+        return self._issuer(first[0]) if first else None
 
     def is_issuer(self, target: str, zone: str) -> bool:
-        """Tell whether this daemon gives the permits for a target."""
+        """Return whether this daemon issues the permits for a target."""
         me = self.cluster.membership.me.name
         return lowest_ranked(target, self._candidates(zone), 1) == [me]
 
     def mark_unresponsive(self, name: str) -> None:
-        """Take in that one did not answer."""
+        """Skip a daemon that did not answer, for `UNRESPONSIVE_S`."""
         now = time.monotonic()
-        self._doubted = {n: until for n, until in self._doubted.items() if until > now}
-        self._doubted[name] = now + DOUBT_S
+        self._unresponsive = {
+            n: until for n, until in self._unresponsive.items() if until > now
+        }
+        self._unresponsive[name] = now + UNRESPONSIVE_S
 
     def visible_share(self, zone: str) -> float:
-        """Give the part of a target's limit that this daemon may give permits for.
+        """Return the share of a target's limit for which this daemon issues permits.
 
-        In a zone that is cut in two each part has a first one by rank. Were both to
-        give permits for the whole limit, the target would get twice what it takes; so
-        each gives what falls to those that it sees, of those that are listed.
+        In a partitioned zone, each side has an issuer. If both issued permits for the
+        whole limit, the target would receive twice its limit. So the share is the
+        number of live members over the number of listed instances.
+
+        Parameters
+        ----------
+        zone : str
+            Availability zone of the target.
         """
         membership = self.cluster.membership
         live = len(membership.own_zone_names())
@@ -80,13 +87,13 @@
         return max(1, live) / max(1, live, len(listed))
 
     def _candidates(self, zone) -> Iterable[str]:
-        """List the daemons of a zone; all, if the zone has none."""
+        """List the daemons of a zone, or those of all zones if it has none."""
         membership = self.cluster.membership
         if zone == membership.me.zone:
             return membership.own_zone_names()
-        return self._usable(self._listed_in(zone)) or self._everywhere()
+        return self._usable(self._listed_in(zone)) or self._in_all_zones()
 
-    def _everywhere(self):
+    def _in_all_zones(self):
         mine = self.cluster.membership.me.zone
         others = [n for n, each in self.cluster.listed.items() if each.zone != mine]
         return [*self._usable(others), *self.cluster.membership.own_zone_names()]
@@ -103,7 +110,7 @@
             if member is None or member.state is MemberState.ALIVE
         ]
 
-    def _giver(self, name):
+    def _issuer(self, name):
         member = self.cluster.membership.get(name)
         if member is not None:
             return PermitIssuer(name, member.zone, member.peer_address)
--- a/packages/entry/src/cairnferry/entry/members/_steering.py
+++ b/packages/entry/src/cairnferry/entry/members/_steering.py
@@ -1,4 +1,4 @@
-"""Which entry instances callers shall use for a service."""
+"""Steering of callers to entry instances."""
 
 import math
 import time
@@ -9,29 +9,32 @@
 from cairnferry.entry.members._cluster import Cluster
 
 MS_PER_S = 1000
+# Weight of an instance without spare capacity, as a share of that of an idle one.
 MIN_WEIGHT = 0.05
+# Spare capacity of an idle instance, in thousandths.
 FULL_SPARE = 1000
-# Instances of the caller's zone from which those of other zones are not named.
-MIN_NEAR = 2
+# Number of instances in the caller's zone from which instances of other zones are not
+# returned.
+MIN_SAME_ZONE = 2
 
 
 @attrs.define
 class Steering:
-    """Makes the answers that callers keep for their time to live.
+    """Builds steering answers, which callers cache for their time to live.
 
-    The answer is an optimisation: any daemon serves any service, so that a
-    stale one costs time but breaks nothing.
+    An answer is an optimisation: any daemon serves any service, so that a stale answer
+    costs time but breaks nothing.
 
     Parameters
     ----------
     cluster : Cluster
-        Who is there, and how it fares.
+        Members and their health.
     zone : str
-        Own availability zone.
+        Availability zone of this instance.
     ttl : float
-        Time to live in seconds.
+        Time to live of an answer in seconds.
     shard : int
-        Entry instances for one service; 0 for all.
+        Number of entry instances for one service; 0 for all.
     """
 
     cluster: Cluster
@@ -40,7 +43,7 @@
     shard: int
 
     def answer(self, service: str, zone: str | None) -> dict:
-        """Give the answer for a service and the caller's availability zone."""
+        """Return the answer for a service and the caller's availability zone."""
         near = zone or self.zone
         usable = self.cluster.usable(time.monotonic())
         members = self._shard_of(service, usable)
@@ -49,18 +52,18 @@
         return {"entries": entries, "ttl_ms": int(self.ttl * MS_PER_S)}
 
     def addresses(self, zone: str | None) -> list[str]:
-        """Give the addresses for a caller of a zone, which picks any of them.
+        """Return the addresses for a caller of a zone, which uses any of them.
 
-        Those of its own zone if there are enough, so that the loss of one does not
-        leave it without any; else all.
+        These are the instances of the caller's zone if there are at least
+        `MIN_SAME_ZONE`, so that it still has one after a loss; otherwise all instances.
         """
         usable = self.cluster.usable(time.monotonic())
         near = [member for member in usable if member.zone == zone]
-        chosen = near if len(near) >= MIN_NEAR else usable
+        chosen = near if len(near) >= MIN_SAME_ZONE else usable
         return [member.caller_address for member in chosen]
 
     def _shard_of(self, service, members):
-        """Choose a like part of each zone, so that each keeps some."""
+        """Select the shard of a service, with the same number from each zone."""
         if not self.shard or len(members) <= self.shard:
             return list(members)
         by_zone: dict[str, dict[str, Member]] = {}
--- a/packages/entry/src/cairnferry/entry/members/_watcher_role.py
+++ b/packages/entry/src/cairnferry/entry/members/_watcher_role.py
@@ -1,4 +1,4 @@
-"""Which daemons watch the platform's store for all others of their zone."""
+"""Selection of the daemons that watch the platform's store for their zone."""
 
 import math
 import time
@@ -8,93 +8,100 @@
 from cairnferry.coordination import Note
 from cairnferry.entry.members._cluster import Cluster
 
-# Daemons that watch, over all zones. What one misses another one tells: zones hear from
-# each other within half a second or so, and of a watcher that is lost about as fast.
+# Watchers over all zones. A change that one watcher misses is reported by another:
+# updates, and the loss of a watcher, reach the other zones within about 0.5 s.
 WATCHERS = 3
-# Daemons of a zone that may come to watch. All of them call when an outage ends; too
-# few might all be refused by a store that serves others.
+# Daemons of a zone that may become watchers. All of them call the store when an outage
+# ends. With too few candidates, the store might refuse all of them although it serves
+# other daemons.
 CANDIDATES = 6
-# Seconds since the rules in force were last confirmed, by whomever, from which a
-# further daemon of the zone watches, and after which yet another does. A call of a
-# watcher waits up to 8 s for changes, and confirms nothing before its end.
-LATE_S = 9.0
-LATER_S = 1.0
-# Seconds for which one whose call to the store failed leaves the watching to others: a
-# store that is away altogether is asked by each candidate in turn, about that often.
-REFUSED_S = 6.0
-# Seconds for which what was found is taken for true: several followers ask.
+# Age in seconds of the last confirmation of the rules, by any daemon, from which one
+# more daemon of the zone watches. A watcher's call waits up to 8 s for changes and
+# confirms the rules only when it ends.
+UNCONFIRMED_S = 9.0
+# Further seconds without a confirmation after which each additional daemon watches.
+ESCALATION_S = 1.0
+# Seconds for which a daemon whose call to the store failed leaves watching to others.
+# During a complete outage each candidate in turn calls the store about this often.
+STORE_FAILURE_S = 6.0
+# Seconds for which a decision is cached, as several followers request it.
 CHECK_S = 0.1
-# Source of the note that a daemon got no answer from the store.
-NO_STORE = "no-store"
-# Seconds after the start for which a daemon that was told of the others by one of them
-# leaves the watching to these: it has heard none of them yet, and would call for
-# itself.
+# Source of the note that the store did not answer a daemon.
+STORE_UNREACHABLE = "no-store"
+# Seconds after a daemon has joined through another one for which it leaves watching to
+# others. It has received no heartbeat yet, so that it would consider itself alone.
 SETTLE_S = 2.0
-# Multiple of that for which one that asked the store itself watches in any case.
-STAY = 1.5
+# Multiple of `SETTLE_S` for which a daemon that read the member list from the store
+# itself watches in any case.
+FIRST_SETTLE_FACTOR = 1.5
 
 
 @attrs.define
 class WatcherRole:
-    """Tells whether it is this daemon's turn to watch the store.
+    """Decides whether this daemon watches the store for its zone.
 
-    The rank among the live daemons of the zone decides, without a lease: doing it twice
-    costs some calls and harms nothing. Daemons that see nobody watch themselves, so
-    that each part of a partition has watchers.
+    The rank among the live daemons of the zone decides. No lease is needed, as a
+    redundant watcher costs some calls and does no harm. A daemon that sees no other
+    daemon is a watcher, so that each side of a partition has watchers.
 
     Parameters
     ----------
     cluster : Cluster
-        Who is there, and how old the confirmed rules are.
+        Members, and the age of the confirmed rules.
 
     Attributes
     ----------
-    told_at : float
-        Monotonic time in seconds at which another daemon told this one of the others;
-        minus infinity if it asked the store itself.
+    joined_at : float
+        Monotonic time in seconds at which this daemon got the member list from another
+        daemon; minus infinity if it read the list from the store itself.
     is_ready : bool
-        Whether this daemon knows by now where the others are to be found.
+        Whether the addresses of the other daemons are known.
     """
 
     cluster: Cluster
     joined_at: float = -math.inf
     is_ready: bool = False
-    _since: float = attrs.field(factory=lambda: time.monotonic())
-    _looked_at: float = -math.inf
-    _was_mine: bool = False
+    _started_at: float = attrs.field(factory=lambda: time.monotonic())
+    _checked_at: float = -math.inf
+    _was_active: bool = False
 
     def is_active(self) -> bool:
-        """Tell whether to watch now."""
+        """Return whether to watch now."""
         now = time.monotonic()
-        if now >= self._looked_at + CHECK_S:
-            self._looked_at = now
-            self._was_mine = self.is_active_at(now)
-        return self._was_mine
+        if now >= self._checked_at + CHECK_S:
+            self._checked_at = now
+            self._was_active = self.is_active_at(now)
+        return self._was_active
 
     def is_active_at(self, now: float) -> bool:
-        """Tell whether to watch at a monotonic time in seconds."""
+        """Return whether to watch at a monotonic time in seconds."""
         if not self.is_ready or now < self.joined_at + SETTLE_S:
             return False
-        if self.joined_at == -math.inf and now < self._since + STAY * SETTLE_S:
-            # Those that rank before it may have started with it, and not watch yet.
+        if (
+            self.joined_at == -math.inf
+            and now < self._started_at + FIRST_SETTLE_FACTOR * SETTLE_S
+        ):
+            # Daemons of a higher rank may have just started and not watch yet.
             return True
         membership = self.cluster.membership
         candidates = membership.own_zone_names()[:CANDIDATES]
         notes = self.cluster.notes
-        served = [n for n in candidates if not notes.is_in_effect(n, NO_STORE, now)]
-        # With the store away for all, the first go on trying.
+        served = [
+            n for n in candidates if not notes.is_in_effect(n, STORE_UNREACHABLE, now)
+        ]
+        # If the store is unreachable for all candidates, the first ones keep trying.
         return membership.me.name in (served or candidates)[: self._watchers(now)]
 
     def _watchers(self, now):
-        """Give how many of the zone watch, more while nothing is confirmed."""
+        """Return the number of watchers in the zone; it grows without confirmations."""
         zones = {member.zone for member in self.cluster.membership.live()}
         usual = math.ceil(WATCHERS / max(1, len(zones)))
-        age = min(self.cluster.confirmation.age(now), now - self._since)
-        if age < LATE_S:
+        age = min(self.cluster.confirmation.age(now), now - self._started_at)
+        if age < UNCONFIRMED_S:
             return usual
-        return usual + 1 + int((age - LATE_S) / LATER_S)
+        return usual + 1 + int((age - UNCONFIRMED_S) / ESCALATION_S)
 
     def report_store_failure(self) -> bool:
-        """Tell the others that the store gave no answer; give back if that is new."""
+        """Record for all daemons that the store did not answer; return if it is new."""
         name = self.cluster.membership.me.name
-        return self.cluster.post(Note(name, NO_STORE, REFUSED_S))
+        return self.cluster.post(Note(name, STORE_UNREACHABLE, STORE_FAILURE_S))
--- a/tests/entry/core/test_settings_watch.py
+++ b/tests/entry/core/test_settings_watch.py
@@ -1,4 +1,4 @@
-"""Settings that change while a daemon runs."""
+"""Reload of settings while a daemon runs."""
 
 import pytest
 from expression import Error, Ok
@@ -24,8 +24,8 @@
     caplog.set_level("INFO")
     watch, path, applied = watch
     path.write_text("a=2\nb=3\n")
-    watch.look(was_told=False)
-    watch.look(was_told=False)
+    watch.check(is_requested=False)
+    watch.check(is_requested=False)
     assert applied == ["a=2\nb=3\n"]
     (record,) = [r for r in caplog.records if r.message == "reload"]
     assert record.changed == ["a=2", "b=3"]
@@ -34,16 +34,16 @@
 def test_a_signal_without_a_change_is_logged(watch, caplog):
     caplog.set_level("INFO")
     watch, _, applied = watch
-    watch.look(was_told=True)
+    watch.check(is_requested=True)
     assert applied == []
     assert "reload" in caplog.text
 
 
-def test_what_cannot_be_read_changes_nothing(watch, caplog):
+def test_settings_that_cannot_be_read_have_no_effect(watch, caplog):
     watch, path, applied = watch
     path.write_text("a=wrong\n")
-    watch.look(was_told=True)
+    watch.check(is_requested=True)
     path.unlink()
-    watch.look(was_told=True)
+    watch.check(is_requested=True)
     assert applied == []
     assert caplog.text.count("settings kept") == 2
--- a/tests/entry/daemon/conftest.py
+++ b/tests/entry/daemon/conftest.py
@@ -1,4 +1,4 @@
-"""Daemons on the own interface, as processes, with one service."""
+"""Fixture that starts daemons with one service, as separate processes."""
 
 import json
 
@@ -9,10 +9,10 @@
 
 @pytest.fixture
 def install(system, tmp_path):
-    """Give the function that starts targets and daemons and puts records in force.
+    """Return a function that starts targets and daemons and puts records in force.
 
-    It takes the names of the targets, which are all in one zone, the daemons' zones by
-    name, and how long a target runs a request.
+    Its parameters are the names of the targets, which are all in one zone, the
+    daemons' zones by name, and a target's time in milliseconds for one request.
     """
 
     def start(targets, daemons, service_ms):
@@ -31,7 +31,7 @@
             records.append(target_v2(name, "s", "zone-a", address))
         path = tmp_path / "records.json"
         path.write_text(json.dumps(records))
-        done = system.tool("submit", str(path))
+        done = system.run_ctl("submit", str(path))
         assert done.returncode == 0, done.stderr
         system.await_revision(1)
         return system
--- a/tests/entry/daemon/test_blocked.py
+++ b/tests/entry/daemon/test_blocked.py
@@ -1,4 +1,4 @@
-"""Blocked requests in one row of the platform's table."""
+"""Storage of blocked requests in one row of the platform's table."""
 
 import pytest
 from expression import Error, Ok
@@ -8,7 +8,7 @@
 
 
 class Table:
-    """Keeps one row, or is away."""
+    """Holds one row, or is unreachable."""
 
     def __init__(self):
         self.item = None
@@ -51,8 +51,8 @@
     assert set(blocks.read().ok) == {"b"}
 
 
-def test_of_two_that_write_at_the_same_moment_one_does(table, blocks):
-    """Symptom: two daemons try a request at the same time, and two targets end."""
+def test_one_of_two_concurrent_writes_succeeds(table, blocks):
+    """Guards against trials of a request by two daemons that crash two targets."""
     blocks.write("a", b"1", 0)
     version = blocks.read().ok["a"].version
 
@@ -66,14 +66,14 @@
 
 
 @pytest.mark.parametrize("body", ["", "[]", "[1]", '{"a": 1}', '{"a": ["x", "y"]}'])
-def test_a_row_that_cannot_be_read_names_nothing_and_is_replaced(table, blocks, body):
+def test_a_row_that_cannot_be_read_is_empty_and_replaced(table, blocks, body):
     table.item = Item(BLOCKED_KEY, 7, body)
     assert blocks.read().ok == {}
     assert blocks.write("a", b"1", 0).is_ok()
     assert table.item.version == 8
 
 
-def test_a_table_that_is_away_writes_nothing(table, blocks):
+def test_an_unreachable_table_fails_reads_and_writes(table, blocks):
     table.is_up = False
     assert blocks.read().is_error()
     assert blocks.write("a", b"1", 0).is_error()
--- a/tests/entry/daemon/test_limits_of_targets.py
+++ b/tests/entry/daemon/test_limits_of_targets.py
@@ -1,7 +1,7 @@
-"""Daemons on the own interface, as processes, and a target that names a limit.
+"""Limit of a target over several daemons, run as separate processes.
 
-The target got as much as before it named the limit: no daemon read its word, and none
-counts what the others send.
+Guards against a target that gets as many requests as before it set a limit, because no
+daemon reads its limit header, and none counts the requests of other daemons.
 """
 
 import time
@@ -20,7 +20,7 @@
 PAUSE_S = 0.05
 
 
-def call_for_ever(daemon):
+def call_forever(daemon):
     while True:
         daemon.call("callers", "GET", "/s/x")
         gevent.sleep(PAUSE_S)
@@ -28,10 +28,10 @@
 
 @pytest.fixture
 def installed(install):
-    """Give a system with one service, and callers of all its daemons."""
+    """Return a system with one service, and callers of all its daemons."""
     system = install(TARGETS, DAEMONS, service_ms=10)
     callers = [
-        gevent.spawn(call_for_ever, daemon)
+        gevent.spawn(call_forever, daemon)
         for daemon in system.daemons.values()
         for _ in range(CALLERS_EACH)
     ]
@@ -43,22 +43,22 @@
     return [at for at, *_ in system.target_events(name)["seen"] if at >= since]
 
 
-def name_limit(system, name, limit):
-    """Name a limit, or none; give the time."""
+def set_limit(system, name, limit):
+    """Set a target's limit, or remove it if it is None; return the time."""
     system.set_target(name, limit=str(limit or ""))
     return time.monotonic()
 
 
-def test_a_limit_holds_over_all_daemons_and_ends_with_its_target_s_word(installed):
+def test_a_limit_applies_to_all_daemons_until_its_target_removes_it(installed):
     wait_for(lambda: len(arrivals(installed, "a", 0.0)) > 20)
-    named = name_limit(installed, "a", LIMIT)
+    set_at = set_limit(installed, "a", LIMIT)
     gevent.sleep(CONTACT_S + WINDOW_S)
-    got = arrivals(installed, "a", named + CONTACT_S)
-    assert 0 < len(got) <= 1.5 * LIMIT * WINDOW_S + 5
-    shown = [
+    received = arrivals(installed, "a", set_at + CONTACT_S)
+    assert 0 < len(received) <= 1.5 * LIMIT * WINDOW_S + 5
+    pages = [
         daemon.call("operators", "GET", "/metrics").body.decode()
         for daemon in installed.daemons.values()
     ]
-    assert all('cairnferry_target_limit{target="a"} 2.6' in page for page in shown)
-    lifted = name_limit(installed, "a", None)
-    wait_for(lambda: len(arrivals(installed, "a", lifted)) > 50)
+    assert all('cairnferry_target_limit{target="a"} 2.6' in page for page in pages)
+    lifted_at = set_limit(installed, "a", None)
+    wait_for(lambda: len(arrivals(installed, "a", lifted_at)) > 50)
--- a/tests/entry/daemon/test_listing.py
+++ b/tests/entry/daemon/test_listing.py
@@ -37,7 +37,7 @@
     return ListedRegistry(List(fetched), noted.append), noted
 
 
-def test_entries_and_leaving_targets_come_from_one_reading():
+def test_entries_and_leaving_targets_come_from_one_read():
     listed, noted = registry(Ok([*ENTRIES, *TARGETS]))
     enrolled = listed.read().ok
     assert enrolled.key is None
@@ -47,13 +47,13 @@
     assert noted == [{"10.0.0.2:2"}]
 
 
-def test_a_list_that_cannot_be_read_is_a_fault_of_the_port():
+def test_a_list_that_cannot_be_read_is_reported_as_unavailable():
     listed, noted = registry(Error(TableUnavailable("status 503")))
     assert listed.read().error == FeedUnavailable("status 503")
     assert noted == []
 
 
-def test_nothing_is_written_to_a_list_that_the_platform_keeps():
+def test_writes_to_the_platform_s_list_do_nothing():
     listed, _ = registry(Ok(list(ENTRIES)))
     me = EntryRow("a", "hall", "10.0.0.1:1")
     assert listed.write(me).is_ok()
@@ -62,7 +62,7 @@
     assert len(listed.read().ok.entries) == 3
 
 
-def test_a_daemon_takes_others_from_the_list_and_keeps_its_own_keys():
+def test_a_daemon_gets_peers_from_the_list_and_keeps_its_keys():
     listed, _ = registry(Ok(list(ENTRIES)))
     peers = Peers("a")
     assert isinstance(peers.membership, Membership)
