--- a/tests/entry/following/test_following.py
+++ b/tests/entry/following/test_following.py
@@ -1,4 +1,4 @@
-"""A followed table: each state of the feed, and what vanishes in an outage."""
+"""Following a table: states of the feed, and rows that are removed in an outage."""
 
 import random
 
@@ -13,19 +13,19 @@
 
 
 class ScriptedFeed:
-    """Gives prepared results and notes what was asked."""
+    """Returns prepared results and records the calls."""
 
     def __init__(self, *results):
         self.results = list(results)
-        self.asked = []
+        self.calls = []
         self.waits = []
 
-    def everything(self):
-        self.asked.append("all")
+    def list_all(self):
+        self.calls.append("all")
         return self.results.pop(0)
 
-    def since(self, version, wait_s):
-        self.asked.append(version)
+    def wait_for_changes(self, version, wait_s):
+        self.calls.append(version)
         self.waits.append(wait_s)
         return self.results.pop(0)
 
@@ -61,35 +61,35 @@
 
 
 def play(follower, calls):
-    return [follower.one_call() for _ in range(calls)]
+    return [follower.poll_once() for _ in range(calls)]
 
 
-def test_it_lists_once_and_then_waits_for_changes(follow):
+def test_a_follower_lists_once_and_then_waits_for_changes(follow):
     follower, feed, seen = follow(
         batch(5, put("a", 3)), batch(7, put("b", 7)), batch(9, removed("a", 9))
     )
     play(follower, 3)
-    assert feed.asked == ["all", 5, 7]
+    assert feed.calls == ["all", 5, 7]
     assert seen == [{"a": 3}, {"a": 3, "b": 7}, {"b": 7}]
 
 
-def test_an_answer_without_changes_changes_nothing(follow):
+def test_an_answer_without_changes_has_no_effect(follow):
     follower, feed, seen = follow(batch(5, put("a", 3)), batch(6), batch(6))
     play(follower, 3)
-    assert feed.asked == ["all", 5, 6]
+    assert feed.calls == ["all", 5, 6]
     assert len(seen) == 1
 
 
-def test_a_late_answer_does_not_bring_an_older_row_back(follow):
+def test_a_late_answer_does_not_restore_an_older_row(follow):
     follower, _, seen = follow(batch(5, put("a", 5)), batch(6, put("a", 4)))
     play(follower, 2)
     assert seen == [{"a": 5}]
 
 
-def test_lost_history_is_listed_again_at_once(follow):
-    """Symptom: a target that left during the gap gets requests for ever.
+def test_rows_are_listed_again_at_once_after_lost_history(follow):
+    """Guards against a target that keeps getting requests after it has left.
 
-    Cause: its removal is in the history that the store no longer has.
+    Its removal is in the part of the history that the store no longer has.
     """
     follower, feed, seen = follow(
         batch(5, put("a", 3), put("b", 4)),
@@ -97,15 +97,15 @@
         batch(50, put("b", 4)),
     )
     pauses = play(follower, 3)
-    assert feed.asked == ["all", 5, "all"]
+    assert feed.calls == ["all", 5, "all"]
     assert pauses[1] == 0
     assert seen[-1] == {"b": 4}
 
 
-def test_failures_are_tried_again_with_growing_pauses_and_keep_what_is_held(follow):
+def test_failures_are_retried_with_backoff_and_rows_are_kept(follow):
     follower, feed, seen = follow(batch(5, put("a", 3)), *[DOWN] * 8, batch(5))
     pauses = play(follower, 10)
-    assert feed.asked == ["all", *[5] * 9]
+    assert feed.calls == ["all", *[5] * 9]
     assert seen == [{"a": 3}]
     assert max(pauses) <= _following.MAX_RETRY_S
     assert pauses[6] > pauses[1]
@@ -114,16 +114,15 @@
 def test_a_feed_that_is_down_from_the_start_is_listed_when_it_is_up(follow):
     follower, feed, seen = follow(DOWN, DOWN, batch(5, put("a", 3)))
     play(follower, 3)
-    assert feed.asked == ["all"] * 3
+    assert feed.calls == ["all"] * 3
     assert seen == [{"a": 3}]
 
 
-def test_what_lapsed_in_an_outage_is_held_until_it_may_be_back(follow, monkeypatch):
-    """Symptom: after an outage of the store all targets are gone for two seconds.
+def test_rows_that_lapsed_in_an_outage_are_retained(follow, monkeypatch):
+    """Guards against two seconds without targets after an outage of the store.
 
-    Events: targets cannot renew their rows while the store is away; the rows lapse,
-    and are written again within two seconds of its return. Cause: the removals were
-    taken at their word.
+    Targets cannot renew their rows during the outage. The rows lapse and are written
+    again within two seconds of its end, but the removals were applied at once.
     """
     monkeypatch.setattr(_table, "RETURN_GRACE_S", 0.05)
     follower, _, seen = follow(
@@ -139,7 +138,7 @@
     assert seen[-1] == {"a": 9}
 
 
-def test_a_listing_after_an_outage_holds_what_is_missing(follow, monkeypatch):
+def test_a_listing_after_an_outage_retains_missing_rows(follow, monkeypatch):
     monkeypatch.setattr(_table, "RETURN_GRACE_S", 0.05)
     follower, _, seen = follow(
         batch(5, put("a", 3), put("b", 4)),
@@ -154,25 +153,25 @@
     assert seen[-1] == {"b": 4}
 
 
-def test_without_an_outage_a_removal_counts_at_once(follow):
+def test_without_an_outage_a_removal_takes_effect_at_once(follow):
     follower, _, seen = follow(batch(5, put("a", 3)), batch(6, removed("a", 6)))
     play(follower, 2)
     assert seen[-1] == {}
 
 
-def test_while_the_store_may_be_away_calls_do_not_wait(follow):
-    """Symptom: ten seconds after an outage old rules are still in force.
+def test_calls_do_not_wait_while_the_store_may_be_unreachable(follow):
+    """Guards against old rules that are in force ten seconds after an outage.
 
-    Events: the store is silent for five seconds; in that time a call is made that is
-    to wait eight seconds for changes. Its answer never comes. Cause: the wait, and the
-    time allowed for it, although the call before it had failed.
+    The store is silent for five seconds. A call made meanwhile waits eight seconds for
+    changes, and its timeout on top, although the previous call has failed. It never
+    gets an answer.
     """
     follower, feed, _ = follow(batch(5), batch(6), DOWN, DOWN, batch(6), batch(6))
     play(follower, 6)
     assert [wait > 0 for wait in feed.waits] == [True, True, False, False, True]
 
 
-def test_waits_differ_so_that_instances_get_out_of_step(follow):
+def test_waits_differ_to_desynchronise_instances(follow):
     follower, feed, _ = follow(batch(5), *[batch(5)] * 10)
     play(follower, 11)
     assert len(set(feed.waits)) == 10
@@ -182,19 +181,19 @@
 
 
 class HangingFeed(ScriptedFeed):
-    """Its first wait for changes gets no answer."""
+    """Does not answer where the prepared result is None."""
 
-    def since(self, version, wait_s):
-        result = super().since(version, wait_s)
+    def wait_for_changes(self, version, wait_s):
+        result = super().wait_for_changes(version, wait_s)
         if result is None:
             gevent.sleep(1000)
         return result
 
 
-def test_a_feed_that_finds_the_store_back_wakes_the_other_one(follow):
-    """Symptom: rules are up to date after an outage, and targets are not.
+def test_a_follower_that_detects_the_end_of_an_outage_restarts_others(follow):
+    """Guards against outdated targets after an outage, while rules are up to date.
 
-    Cause: the call for targets waits for an answer that was lost in the outage.
+    The call for targets waits for an answer that was lost in the outage.
     """
     rules, _, _ = follow(batch(5), DOWN, batch(5))
     hanging = HangingFeed(batch(5, put("a", 3)), None, batch(7, removed("a", 7)))
@@ -202,57 +201,57 @@
     rules.partners.append(targets)
     play(rules, 2)
     task = gevent.spawn(targets.run)
-    while len(hanging.asked) < 2:
+    while len(hanging.calls) < 2:
         gevent.sleep(0.01)
-    rules.one_call()
-    while len(hanging.asked) < 3:
+    rules.poll_once()
+    while len(hanging.calls) < 3:
         gevent.sleep(0.01)
     task.kill()
     assert hanging.waits[1] == 0.0
 
 
 class WaitingFeed(ScriptedFeed):
-    """Waits as long as it is told to before it finds nothing."""
+    """Waits for the requested time before each answer."""
 
-    def since(self, version, wait_s):
+    def wait_for_changes(self, version, wait_s):
         gevent.sleep(wait_s)
-        return super().since(version, wait_s)
+        return super().wait_for_changes(version, wait_s)
 
 
-def test_an_answer_that_waited_confirms_up_to_its_end(monkeypatch):
-    """Symptom: daemons that are up to date call themselves stale.
+def test_an_answer_after_a_full_wait_confirms_up_to_its_end(monkeypatch):
+    """Guards against daemons that are up to date but consider themselves stale.
 
-    Cause: what a call confirms was counted from its beginning, and the call waits for
-    changes for longer than it takes to be called stale.
+    The confirmation by a call counted from the start of the call, and the call waits
+    for changes for longer than the time after which a daemon is stale.
     """
     monkeypatch.setattr(_following, "MAX_WAIT_S", 0.05)
     feed = WaitingFeed(batch(5), batch(5), batch(6, put("a", 6)))
     follower = Follower("rows", feed, lambda rows: None, random.Random(1))
     play(follower, 2)
-    assert follower.confirmed_at >= follower._asked_at + feed.waits[0]
-    follower.one_call()
-    assert follower.confirmed_at == follower._asked_at
+    assert follower.confirmed_at >= follower._called_at + feed.waits[0]
+    follower.poll_once()
+    assert follower.confirmed_at == follower._called_at
 
 
-def test_one_that_is_off_duty_goes_on_from_what_it_was_told_meanwhile(follow):
+def test_a_follower_resumes_from_updates_sent_by_peers(follow):
     follower, feed, seen = follow(batch(5, put("a", 3)), batch(9, put("c", 9)))
-    follower.one_call()
-    follower._rest()
+    follower.poll_once()
+    follower._stand_by()
     follower.table.apply_update(TableUpdate(False, (put("b", 7),), 7))
-    follower.one_call()
-    assert feed.asked == ["all", 7]
+    follower.poll_once()
+    assert feed.calls == ["all", 7]
     assert seen[-1] == {"a": 3, "b": 7, "c": 9}
 
 
-def test_an_outage_that_began_before_others_watched_is_remembered(follow):
-    """Symptom: targets vanish for two seconds after an outage.
+def test_an_outage_is_remembered_while_others_watch(follow):
+    """Guards against two seconds without targets after an outage.
 
-    Events: a daemon finds the store away and leaves the watching to others; it is its
-    turn again when the store is back, and rows have lapsed. Cause: it had forgotten.
+    A daemon detects the outage and leaves watching to others. It watches again when
+    the store is back and rows have lapsed, but did not remember the outage.
     """
     follower, _, seen = follow(batch(5, put("a", 3)), DOWN, batch(7, removed("a", 7)))
     play(follower, 2)
-    follower._rest()
-    follower.one_call()
+    follower._stand_by()
+    follower.poll_once()
     assert seen == [{"a": 3}]
     assert follower.table.grace_left > 0
--- a/tests/entry/members/_clusters.py
+++ b/tests/entry/members/_clusters.py
@@ -1,4 +1,4 @@
-"""Members of a zone, and what a daemon knows of them, without sockets."""
+"""Builds members and a daemon's view of them, without sockets."""
 
 import random
 
@@ -7,7 +7,7 @@
 
 
 class Rules:
-    """Rules in force, at some revision."""
+    """Rules in force at revision 1."""
 
     revision = 1
     behind = None
--- a/tests/entry/members/test_enrolment.py
+++ b/tests/entry/members/test_enrolment.py
@@ -1,4 +1,4 @@
-"""Daemons find each other, and agree on one key, by a registry."""
+"""Enrolment: daemons discover each other and share one key by a registry."""
 
 import random
 
@@ -7,7 +7,12 @@
 from expression import Error, Ok
 
 from cairnferry.coordination import Member, Membership, MemberState
-from cairnferry.entry._ports import Enrolled, EntryRow, FeedUnavailable, KeyExists
+from cairnferry.entry._ports import (
+    EntryRow,
+    FeedUnavailable,
+    KeyExists,
+    RegistryContents,
+)
 from cairnferry.entry.members import _enrolment
 from cairnferry.entry.members._enrolment import Enrolment
 from cairnferry.peers import SharedKey
@@ -17,7 +22,7 @@
 
 @attrs.define
 class MemoryRegistry:
-    """A registry whose next calls fail, before or after they were done."""
+    """A registry whose next calls fail, before or after they take effect."""
 
     key: bytes | None = None
     rows: dict = attrs.field(factory=dict)
@@ -56,7 +61,9 @@
         return Ok(None)
 
     def read(self):
-        return self._do(lambda: Ok(Enrolled(self.key, tuple(self.rows.values()))))
+        return self._do(
+            lambda: Ok(RegistryContents(self.key, tuple(self.rows.values())))
+        )
 
     def remove(self, names):
         def action():
@@ -68,22 +75,22 @@
 
 
 class Peers:
-    """What an enrolment tells cluster and gossip, and how it sees the members."""
+    """Stand-in for cluster and gossip, with a real membership."""
 
     def __init__(self, name):
         self.listed = {}
         self.listed_peers = {}
-        self.hurried = 0
+        self.contacts = 0
         self.membership = Membership(member(name), random.Random(1))
 
-    def list_instances(self, listed):
+    def set_listed(self, listed):
         self.listed = listed
 
-    def meet(self, teller=None):
-        self.hurried += 1
-        self.teller = teller
+    def contact_listed_peers(self, fetch_from=None):
+        self.contacts += 1
+        self.fetch_from = fetch_from
 
-    def hear(self, *names, state=MemberState.ALIVE, now=0.0, incarnation=1):
+    def merge(self, *names, state=MemberState.ALIVE, now=0.0, incarnation=1):
         for name in names:
             self.membership.merge(member(name, state, incarnation), now)
 
@@ -106,10 +113,10 @@
 def enrol(registry, name):
     enrolled, keys, peers = enrolment(registry, name)
     enrolled.enrol()
-    return keys.own(), peers
+    return keys.own_key(), peers
 
 
-def test_all_get_the_same_key_and_see_those_before_them():
+def test_all_daemons_get_the_same_key_and_see_earlier_ones():
     registry = MemoryRegistry()
     first_key, first = enrol(registry, "a")
     second_key, second = enrol(registry, "bb")
@@ -118,10 +125,10 @@
     assert first.listed_peers == {}
     assert second.listed_peers == {"10.0.0.1:1": "hall"}
     assert set(second.listed) == {"a", "bb"}
-    assert second.hurried == 1
+    assert second.contacts == 1
 
 
-def test_a_daemon_that_comes_back_keeps_the_key():
+def test_a_restarted_daemon_keeps_the_key():
     registry = MemoryRegistry()
     key, _ = enrol(registry, "a")
     assert enrol(registry, "a")[0] == key
@@ -130,11 +137,11 @@
 
 @pytest.mark.parametrize("fault", ["before", "after"])
 @pytest.mark.parametrize("calls", [1, 2, 3])
-def test_calls_that_fail_are_made_again_and_the_key_stays(fault, calls):
-    """Symptom: two groups of daemons that refuse each other.
+def test_failed_calls_are_retried_and_the_key_stays(fault, calls):
+    """Guards against two groups of daemons that refuse each other.
 
-    Events: the write of the key is done and its answer lost; it is tried again. Cause:
-    another key written over the first one.
+    The key is written, the answer is lost, and the retry overwrites the key with
+    another one.
     """
     registry = MemoryRegistry(**{fault: calls})
     key, _ = enrol(registry, "a")
@@ -142,11 +149,11 @@
     assert enrol(registry, "bb")[0] == key
 
 
-# -- rows that are out of date ----------------------------------------------------
+# -- outdated rows -----------------------------------------------------------------
 
 
 def group(registry, *names):
-    """Enrol daemons that all know each other."""
+    """Enrol daemons that know each other."""
     made = []
     for name in names:
         enrolled, _, peers = enrolment(registry, name)
@@ -154,11 +161,11 @@
         made.append((enrolled, peers))
     for enrolled, peers in made:
         enrolled.refresh()
-        peers.hear(*names)
+        peers.merge(*names)
     return made
 
 
-def test_a_daemon_that_leaves_takes_its_row_away():
+def test_a_leaving_daemon_removes_its_row():
     registry = MemoryRegistry()
     (first, _), _ = group(registry, "a", "bb")
     first.leave()
@@ -166,111 +173,110 @@
     assert registry.key is not None
 
 
-def test_the_first_live_daemon_removes_the_row_of_one_that_is_long_gone():
-    """Symptom: each daemon spends a smaller part of the budgets than it may.
+def test_the_first_live_daemon_removes_stale_rows():
+    """Guards against daemons whose shares of the budgets are too small.
 
-    Events: an instance is taken away for good, and its row stays. Cause: nobody
-    removed rows of instances that did not leave in order.
+    An instance is removed without a clean shutdown, and its row stays in the registry.
     """
     registry = MemoryRegistry()
     made = group(registry, "a", "bb", "ccc", "dddd")
     for enrolled, peers in made[:3]:
-        peers.hear("dddd", state=MemberState.GONE)
-        enrolled.keep(0.0)
-        enrolled.keep(_enrolment.GONE_S - 1)
+        peers.merge("dddd", state=MemberState.GONE)
+        enrolled.maintain(0.0)
+        enrolled.maintain(_enrolment.STALE_ROW_S - 1)
     assert "dddd" in registry.rows
     for enrolled, peers in reversed(made[:3]):
         assert "dddd" in registry.rows
-        enrolled.keep(_enrolment.GONE_S)
+        enrolled.maintain(_enrolment.STALE_ROW_S)
         assert set(peers.listed) == {"a", "bb", "ccc"}
     assert set(registry.rows) == {"a", "bb", "ccc"}
 
 
-def test_a_row_that_could_not_be_removed_is_removed_later():
+def test_a_failed_removal_of_a_row_is_retried():
     registry = MemoryRegistry()
     enrolled, peers = group(registry, "a", "bb", "ccc")[0]
-    peers.hear("ccc", state=MemberState.GONE)
-    enrolled.keep(0.0)
+    peers.merge("ccc", state=MemberState.GONE)
+    enrolled.maintain(0.0)
     registry.before = 1
-    enrolled.keep(_enrolment.GONE_S)
+    enrolled.maintain(_enrolment.STALE_ROW_S)
     assert "ccc" in registry.rows
-    enrolled.keep(_enrolment.GONE_S + 1)
+    enrolled.maintain(_enrolment.STALE_ROW_S + 1)
     assert "ccc" not in registry.rows
 
 
-def test_a_daemon_that_is_alone_removes_nobody():
-    """Symptom: daemons that start find one of twenty others.
+def test_an_isolated_daemon_removes_no_rows():
+    """Guards against daemons that find only one of twenty others at their start.
 
-    Events: one is cut off from the others and reaches the store; all others look gone
-    to it. Cause: it removed their rows.
+    A daemon that is partitioned from all others but reaches the store considers them
+    lost and removes their rows.
     """
     registry = MemoryRegistry()
     enrolled, peers = group(registry, "a", "bb", "ccc")[0]
-    peers.hear("bb", "ccc", state=MemberState.GONE)
-    enrolled.keep(0.0)
-    enrolled.keep(10 * _enrolment.GONE_S)
+    peers.merge("bb", "ccc", state=MemberState.GONE)
+    enrolled.maintain(0.0)
+    enrolled.maintain(10 * _enrolment.STALE_ROW_S)
     assert set(registry.rows) == {"a", "bb", "ccc"}
     assert set(peers.listed) == {"a", "bb", "ccc"}
 
 
-def test_a_daemon_that_was_called_gone_writes_its_row_again():
-    """Symptom: a daemon that serves is not found by those that start later.
+def test_a_daemon_that_was_declared_lost_writes_its_row_again():
+    """Guards against a serving daemon that daemons started later do not find.
 
-    Events: it is cut off from the others for a minute; they remove its row; it comes
-    back. Cause: rows were written at the start alone.
+    The others remove its row during a partition of a minute, and rows were written at
+    the start only.
     """
     registry = MemoryRegistry()
     enrolled, peers = group(registry, "a", "bb")[0]
     del registry.rows["a"]
-    enrolled.keep(0.0)
+    enrolled.maintain(0.0)
     assert "a" not in registry.rows
-    peers.hear("a", state=MemberState.GONE)
+    peers.merge("a", state=MemberState.GONE)
     registry.before = 1
-    enrolled.keep(1.0)
+    enrolled.maintain(1.0)
     assert "a" not in registry.rows
-    enrolled.keep(2.0)
+    enrolled.maintain(2.0)
     assert "a" in registry.rows
 
 
-def test_a_daemon_that_came_back_is_removed_again_once_it_is_gone_again():
+def test_a_daemon_that_returned_is_removed_after_another_loss():
     registry = MemoryRegistry()
     enrolled, peers = group(registry, "a", "bb", "ccc")[0]
-    peers.hear("ccc", state=MemberState.GONE)
-    enrolled.keep(0.0)
-    enrolled.keep(_enrolment.GONE_S)
+    peers.merge("ccc", state=MemberState.GONE)
+    enrolled.maintain(0.0)
+    enrolled.maintain(_enrolment.STALE_ROW_S)
     registry.write(EntryRow("ccc", "hall", "10.0.0.1:3"))
-    peers.hear("ccc", incarnation=2)
-    enrolled.keep(_enrolment.GONE_S + 1)
-    peers.hear("ccc", state=MemberState.GONE, incarnation=2)
-    enrolled.keep(_enrolment.GONE_S + 2)
-    enrolled.keep(2 * _enrolment.GONE_S + 1)
+    peers.merge("ccc", incarnation=2)
+    enrolled.maintain(_enrolment.STALE_ROW_S + 1)
+    peers.merge("ccc", state=MemberState.GONE, incarnation=2)
+    enrolled.maintain(_enrolment.STALE_ROW_S + 2)
+    enrolled.maintain(2 * _enrolment.STALE_ROW_S + 1)
     assert "ccc" in registry.rows
-    enrolled.keep(2 * _enrolment.GONE_S + 2)
+    enrolled.maintain(2 * _enrolment.STALE_ROW_S + 2)
     assert "ccc" not in registry.rows
 
 
-def test_a_daemon_that_leaves_does_not_write_its_row_again():
-    """Symptom: the row of an instance that is gone is there.
+def test_a_leaving_daemon_does_not_write_its_row_again():
+    """Guards against a row that stays after its instance has left.
 
-    Events: it leaves and removes its row; the others call it gone before it has ended,
-    and it refutes that. Cause: the refutation made it write its row once more.
+    The instance removes its row, the others declare it lost before its process ends,
+    it refutes that, and the refutation writes the row again.
     """
     registry = MemoryRegistry()
     enrolled, peers = group(registry, "a", "bb")[0]
     enrolled.leave()
-    peers.hear("a", state=MemberState.GONE)
-    enrolled.keep(0.0)
+    peers.merge("a", state=MemberState.GONE)
+    enrolled.maintain(0.0)
     assert set(registry.rows) == {"bb"}
 
 
-def test_what_was_removed_is_forgotten_with_the_members():
-    """Symptom: a daemon grows with each instance that was ever replaced."""
+def test_removed_names_are_dropped_with_the_members():
+    """Guards against memory that grows with each replaced instance."""
     registry = MemoryRegistry()
     enrolled, peers = group(registry, "a", "bb", "ccc")[0]
-    peers.hear("ccc", state=MemberState.GONE)
-    enrolled.keep(0.0)
-    enrolled.keep(_enrolment.GONE_S)
+    peers.merge("ccc", state=MemberState.GONE)
+    enrolled.maintain(0.0)
+    enrolled.maintain(_enrolment.STALE_ROW_S)
     assert enrolled._removed == {"ccc"}
     peers.membership.apply_timeouts(10 * peers.membership.times.retention)
-    enrolled.keep(10 * peers.membership.times.retention)
+    enrolled.maintain(10 * peers.membership.times.retention)
     assert enrolled._removed == set()
--- a/tests/entry/members/test_gossip.py
+++ b/tests/entry/members/test_gossip.py
@@ -1,4 +1,4 @@
-"""Rounds of heartbeats: whom a daemon calls, and what it fetches."""
+"""Gossip: the peers that a daemon calls in a round, and what it fetches from them."""
 
 import math
 
@@ -19,7 +19,7 @@
 
 @attrs.define
 class Table:
-    """A shared table that holds nothing back."""
+    """A shared table that retains no removed rows."""
 
     copy: TableReplica = attrs.field(factory=TableReplica)
     grace_left: float = 0.0
@@ -32,14 +32,14 @@
 
 
 class Links:
-    """Calls other daemons of the test directly, and notes who was called."""
+    """Calls other daemons of the test directly, and records the calls."""
 
     def __init__(self):
         self.daemons = {}
         self.called = []
 
-    def to(self, address, is_far=False):
-        return Link(self, address, is_far)
+    def link_to(self, address, is_cross_zone=False):
+        return Link(self, address, is_cross_zone)
 
     def close_unused(self, since):
         pass
@@ -49,10 +49,10 @@
 class Link:
     links: Links
     address: str
-    is_far: bool
+    is_cross_zone: bool
 
     def heartbeat(self, mine):
-        self.links.called.append((self.address, self.is_far))
+        self.links.called.append((self.address, self.is_cross_zone))
         return self.links.daemons[self.address].heartbeat(mine)
 
     def news_since(self, table, version):
@@ -86,12 +86,12 @@
     links.called.clear()
     gossip.one_round()
     gossip._calls.join()
-    return [is_far for address, is_far in links.called]
+    return [is_cross_zone for address, is_cross_zone in links.called]
 
 
 @pytest.fixture
 def zones(start):
-    """Give all daemons of two zones, who know each other."""
+    """Return the daemons of the first of two zones, which know each other."""
     made = {name: start(name, everyone(name)) for name in NEAR}
     yard = [member(name, "yard") for name in FAR] + [member(n) for n in NEAR[:8]]
     for name in FAR:
@@ -99,49 +99,49 @@
     return made
 
 
-def test_only_the_first_of_a_zone_call_other_zones(zones, links):
-    """Symptom: bytes between zones cost more than the daemons' machines.
+def test_only_the_first_members_of_a_zone_call_other_zones(zones, links):
+    """Guards against traffic between zones that costs more than the machines.
 
-    Cause: each of 312 daemons called any of the others, four in five of them far.
+    Each of 312 daemons called any of the others, four in five of them in other zones.
     """
     far = {name: sum(calls_of(gossip, links)) for name, gossip in zones.items()}
-    assert sorted(far.values()) == [0] * 60 + [1] * _gossip.FAR_CALLERS
+    assert sorted(far.values()) == [0] * 60 + [1] * _gossip.CROSS_ZONE_CALLERS
 
 
-def test_another_zone_is_told_of_some_members_alone(zones):
+def test_some_members_only_are_reported_to_another_zone(zones):
     view = zones["e0"].cluster
-    assert len(view.heartbeat("yard").news) == 8
-    assert all(m.zone == "hall" for m in view.heartbeat("yard").news)
+    assert len(view.heartbeat("yard").member_updates) == 8
+    assert all(m.zone == "hall" for m in view.heartbeat("yard").member_updates)
 
 
-def test_another_zone_hears_of_the_loss_of_those_it_knows(zones):
+def test_losses_of_known_members_are_reported_to_another_zone(zones):
     view = zones["e0"].cluster
-    known = {m.name for m in view.heartbeat("yard").news}
+    known = {m.name for m in view.heartbeat("yard").member_updates}
     for name in known - {"e0"}:
         view.membership.suspect(name, 1.0)
-    told = {m.name: m.state.name for m in view.heartbeat("yard").news}
-    assert known <= told.keys()
-    assert len(told) >= 15
+    reported = {m.name: m.state.name for m in view.heartbeat("yard").member_updates}
+    assert known <= reported.keys()
+    assert len(reported) >= 15
 
 
-def test_what_is_new_in_a_table_is_fetched_once_and_alone(start, links):
+def test_only_changed_rows_of_a_table_are_fetched_and_only_once(start, links):
     rows = tuple(Row(f"i-{n}", b"x", n + 1) for n in range(300))
-    knowing = start("e1", [member("e2")])
-    knowing.cluster.tables["targets"].copy.apply_listing(Batch(rows, 400))
-    asking = start("e2", [member("e1")])
-    asking.one_round()
-    asking._calls.join()
-    assert len(asking.cluster.tables["targets"].copy.rows) == 300
+    source = start("e1", [member("e2")])
+    source.cluster.tables["targets"].copy.apply_listing(Batch(rows, 400))
+    fetcher = start("e2", [member("e1")])
+    fetcher.one_round()
+    fetcher._calls.join()
+    assert len(fetcher.cluster.tables["targets"].copy.rows) == 300
     change = Batch((Row("i-0", None, 500),), 500)
-    knowing.cluster.tables["targets"].copy.apply_changes(change)
-    news = knowing.news_since("targets", 400)
+    source.cluster.tables["targets"].copy.apply_changes(change)
+    news = source.news_since("targets", 400)
     assert news == TableUpdate(False, (Row("i-0", None, 500),), 500)
-    calls_of(asking, links)
+    calls_of(fetcher, links)
     assert ("targets", 400) in links.called
-    assert calls_of(asking, links) == [False]
+    assert calls_of(fetcher, links) == [False]
 
 
-def test_a_caller_that_knows_more_is_asked_by_the_one_called(start, links):
+def test_a_called_daemon_fetches_from_a_caller_that_is_ahead(start, links):
     called = start("e1", [member("e2")])
     calling = start("e2", [member("e1")])
     rows = (Row("i-1", b"x", 3),)
@@ -153,21 +153,21 @@
         _gossip.gevent.sleep(0)
 
 
-def test_the_end_of_an_outage_is_told_with_the_rows(start):
-    """Symptom: after an outage the targets of one zone are gone for two seconds.
+def test_the_end_of_an_outage_is_reported_with_the_rows(start):
+    """Guards against a zone without targets for two seconds after an outage.
 
-    Cause: it heard of the removals from another zone, and not that the store had been
-    away when their writers could not renew the rows.
+    The zone received the removals from another zone, but not that they were due to an
+    outage of the store, during which writers could not renew their rows.
     """
-    knowing = start("e1", [member("e2")])
-    knowing.cluster.tables["targets"].grace_left = 1.5
-    asking = start("e2", [member("e1")])
-    asking.one_round()
-    asking._calls.join()
-    assert math.isclose(asking.cluster.tables["targets"].grace_left, 1.5)
+    source = start("e1", [member("e2")])
+    source.cluster.tables["targets"].grace_left = 1.5
+    fetcher = start("e2", [member("e1")])
+    fetcher.one_round()
+    fetcher._calls.join()
+    assert math.isclose(fetcher.cluster.tables["targets"].grace_left, 1.5)
 
 
-def test_a_table_that_only_the_other_side_knows_is_passed_over(start):
+def test_a_table_that_only_the_peer_has_is_ignored(start):
     gossip = start("e1", [member("e2")])
     start("e2", [member("e1")])
     theirs = attrs.evolve(
@@ -179,12 +179,12 @@
     assert gossip.news_since("later", 0) == TableUpdate(False, (), 0)
 
 
-def test_one_that_another_zone_calls_gone_by_mistake_hears_of_it(start):
-    """Symptom: after a cut one zone never uses an instance of another zone again.
+def test_a_daemon_refutes_its_loss_as_reported_by_another_zone(start):
+    """Guards against an instance that another zone never uses again after a partition.
 
-    Events: calls from the yard to e1 fail for a while, and it is called gone there; in
-    its own zone nobody noticed. Cause: the yard told its own members alone, so that e1
-    had nothing to refute.
+    Calls from the yard to e1 fail for a while, and the yard declares e1 lost; the zone
+    of e1 notices nothing. The yard reported its own members only, so that e1 had
+    nothing to refute.
     """
     first = start("e1", [member("e2"), member("y1", "yard")])
     start("e2", [member("e1"), member("y1", "yard")])
@@ -198,30 +198,30 @@
     assert yard.cluster.membership.get("e1").state is MemberState.ALIVE
 
 
-def test_one_that_has_just_joined_fetches_what_is_in_force_at_once(start, links):
-    """Symptom: after all were killed callers are refused for 0.4 s more than before.
+def test_a_daemon_that_has_just_joined_fetches_at_once(start, links):
+    """Guards against 0.4 s more of refused requests after all daemons were killed.
 
-    Events: a daemon starts and is told of others; none is a member yet, and strangers
-    are tried in each fourth round.
+    A daemon that starts gets a list of others. None of them is a member yet, and
+    unknown members are called in each fourth round only.
     """
-    knowing = start("e1", [])
+    source = start("e1", [])
     rows = (Row("i-1", b"x", 3),)
-    knowing.cluster.tables["targets"].copy.apply_listing(Batch(rows, 5))
-    late = start("e2", [])
-    late.rounds = 1
-    late.listed_peers = {"e1:1": "hall"}
-    late.meet()
-    late.one_round()
-    late._calls.join()
-    assert late.cluster.tables["targets"].copy.version == 5
-
-
-def test_one_that_joins_by_a_far_one_may_fetch_from_it(start, links):
-    knowing = start("y1", [], "yard")
+    source.cluster.tables["targets"].copy.apply_listing(Batch(rows, 5))
+    joining = start("e2", [])
+    joining.rounds = 1
+    joining.listed_peers = {"e1:1": "hall"}
+    joining.contact_listed_peers()
+    joining.one_round()
+    joining._calls.join()
+    assert joining.cluster.tables["targets"].copy.version == 5
+
+
+def test_a_daemon_may_fetch_from_a_responder_in_another_zone(start, links):
+    source = start("y1", [], "yard")
     rows = (Row("i-1", b"x", 3),)
-    knowing.cluster.tables["targets"].copy.apply_listing(Batch(rows, 5))
-    late = start("e2", [])
-    late.meet(EntryRow("y1", "yard", "y1:1"))
-    late._calls.join()
-    assert late.cluster.tables["targets"].copy.version == 5
+    source.cluster.tables["targets"].copy.apply_listing(Batch(rows, 5))
+    joining = start("e2", [])
+    joining.contact_listed_peers(EntryRow("y1", "yard", "y1:1"))
+    joining._calls.join()
+    assert joining.cluster.tables["targets"].copy.version == 5
     assert ("y1:1", True) in links.called
--- a/tests/entry/members/test_watcher_role.py
+++ b/tests/entry/members/test_watcher_role.py
@@ -1,4 +1,4 @@
-"""Who of a zone watches the store: few, never none for long, and no lease."""
+"""Watchers of the store: few per zone, at least one soon, and without a lease."""
 
 import math
 import time
@@ -7,7 +7,7 @@
 
 from cairnferry.coordination import MemberState
 from cairnferry.entry.members import _watcher_role
-from cairnferry.entry.members._watcher_role import NO_STORE, WatcherRole
+from cairnferry.entry.members._watcher_role import STORE_UNREACHABLE, WatcherRole
 
 from ._clusters import cluster, member
 
@@ -17,79 +17,79 @@
 
 @pytest.fixture
 def zone():
-    """Give the duty of each member of a large zone, all of whom see all."""
+    """Return the role of each member of a large zone; all members see each other."""
     return make_zone(NAMES, FAR)
 
 
 def make_zone(names, far=()):
-    duties = {}
+    roles = {}
     for name in names:
         others = [member(other) for other in names if other != name]
-        duty = WatcherRole(cluster(name, *others, *far))
-        duty.is_ready = True
-        duty.joined_at = time.monotonic() - 1000
-        duty.cluster.confirmation.confirm(time.monotonic())
-        duties[name] = duty
-    return duties
+        role = WatcherRole(cluster(name, *others, *far))
+        role.is_ready = True
+        role.joined_at = time.monotonic() - 1000
+        role.cluster.confirmation.confirm(time.monotonic())
+        roles[name] = role
+    return roles
 
 
-def watching(duties, now=None):
+def watching(roles, now=None):
     now = time.monotonic() if now is None else now
-    return [name for name, duty in duties.items() if duty.is_active_at(now)]
+    return [name for name, role in roles.items() if role.is_active_at(now)]
 
 
-def tell(duties, fact):
-    for duty in duties.values():
-        fact(duty)
+def apply_to_all(roles, change):
+    for role in roles.values():
+        change(role)
 
 
-def test_one_of_sixty_watches_where_other_zones_have_watchers(zone):
+def test_one_of_sixty_watches_if_other_zones_have_watchers(zone):
     assert len(watching(zone)) == 1
 
 
 @pytest.mark.parametrize(("far", "count"), [((), 3), (FAR[:1], 2), (FAR, 1)])
-def test_the_fewer_zones_the_more_of_each_watch(far, count):
+def test_fewer_zones_have_more_watchers_each(far, count):
     assert len(watching(make_zone(NAMES, far))) == count
 
 
-def test_another_one_watches_once_the_first_is_suspected(zone):
-    """Symptom: a zone hears of no change for as long as its watcher is frozen."""
+def test_another_daemon_watches_once_the_first_is_suspected(zone):
+    """Guards against a zone without updates while its watcher is frozen."""
     (first,) = watching(zone)
-    tell(zone, lambda duty: duty.cluster.membership.suspect(first, 1.0))
+    apply_to_all(zone, lambda role: role.cluster.membership.suspect(first, 1.0))
     del zone[first]
     (second,) = watching(zone)
     assert second != first
 
 
-def test_one_that_leaves_watches_no_more(zone):
+def test_a_leaving_daemon_does_not_watch(zone):
     (first,) = watching(zone)
     leaving = member(first, state=MemberState.LEAVING)
-    tell(zone, lambda duty: duty.cluster.membership.merge(leaving, 1.0))
+    apply_to_all(zone, lambda role: role.cluster.membership.merge(leaving, 1.0))
     zone[first].cluster.membership.leave()
     assert first not in watching(zone)
     assert len(watching(zone)) == 1
 
 
-def test_one_that_the_store_refuses_leaves_it_to_others(zone):
-    """Symptom: a zone hears of changes late while the store refuses one instance.
+def test_a_daemon_refused_by_the_store_leaves_watching_to_others(zone):
+    """Guards against late updates in a zone while the store refuses one instance.
 
-    Cause: the one refused is the one that watches, and it goes on trying alone.
+    The refused instance is the watcher, and it alone continues to call the store.
     """
     (first,) = watching(zone)
     assert zone[first].report_store_failure()
     (note,) = zone[first].cluster.notes.active_notes(time.monotonic())
-    tell(zone, lambda duty: duty.cluster.post(note))
+    apply_to_all(zone, lambda role: role.cluster.post(note))
     (second,) = watching(zone)
     assert second != first
-    later = time.monotonic() + _watcher_role.REFUSED_S + 1
-    tell(zone, lambda duty: duty.cluster.confirmation.confirm(later))
+    later = time.monotonic() + _watcher_role.STORE_FAILURE_S + 1
+    apply_to_all(zone, lambda role: role.cluster.confirmation.confirm(later))
     assert watching(zone, later) == [first]
 
 
-def test_a_store_that_is_away_is_asked_by_few_however_many_there_are(zone):
-    """Symptom: at the end of an outage hundreds of daemons call the store at once.
+def test_few_daemons_call_an_unreachable_store(zone):
+    """Guards against hundreds of daemons that call the store at the end of an outage.
 
-    Events: the store answers nobody; one after the other finds that and tells it; no
+    The store answers no daemon. One after the other detects and reports that, and no
     rules are confirmed for a minute.
     """
     for _ in range(len(NAMES)):
@@ -97,25 +97,28 @@
             zone[name].report_store_failure()
             notes = zone[name].cluster.notes.active_notes(time.monotonic())
             for note in notes:
-                tell(zone, lambda duty, note=note: duty.cluster.post(note))
-    asking = {
+                apply_to_all(zone, lambda role, note=note: role.cluster.post(note))
+    callers = {
         name
         for name in NAMES
-        if zone[name].cluster.notes.is_in_effect(name, NO_STORE, time.monotonic())
+        if zone[name].cluster.notes.is_in_effect(
+            name, STORE_UNREACHABLE, time.monotonic()
+        )
     }
-    assert len(asking) <= _watcher_role.CANDIDATES
+    assert len(callers) <= _watcher_role.CANDIDATES
     in_a_minute = time.monotonic() + 60
     assert 1 <= len(watching(zone, in_a_minute)) <= _watcher_role.CANDIDATES
 
 
-def test_more_watch_while_nothing_is_confirmed(zone):
-    """Symptom: a zone stays behind whose watcher hears nothing and does not know it.
+def test_more_daemons_watch_while_nothing_is_confirmed(zone):
+    """Guards against a zone that stays behind because its watcher gets no answers.
 
-    Events: the watcher's connection to the store falls silent; it lives for the others.
+    The watcher's connection to the store becomes silent, while the other daemons still
+    consider the watcher alive.
     """
-    later = time.monotonic() + _watcher_role.LATE_S + 0.5
+    later = time.monotonic() + _watcher_role.UNCONFIRMED_S + 0.5
     assert len(watching(zone, later)) == 2
-    assert len(watching(zone, later + 2 * _watcher_role.LATER_S)) == 4
+    assert len(watching(zone, later + 2 * _watcher_role.ESCALATION_S)) == 4
 
 
 def test_each_side_of_a_partition_has_watchers(zone):
@@ -127,37 +130,39 @@
         assert len(watching({name: zone[name] for name in side})) == 1
 
 
-def test_one_that_is_alone_watches_for_itself():
+def test_a_daemon_that_is_alone_watches():
     assert watching(make_zone(["e1"])) == ["e1"]
 
 
-def test_one_that_was_told_of_others_leaves_it_to_them_until_it_has_met_them():
-    """Symptom: 312 daemons that start list all tables of the store, each for itself.
+def test_a_daemon_that_has_just_joined_does_not_watch():
+    """Guards against 312 daemons that each list all tables of the store at the start.
 
-    Cause: none has heard another one yet, so that each takes itself for alone.
+    None of them has received a heartbeat yet, so that each considers itself alone.
     """
-    duties = make_zone(["e1"])
-    duty = duties["e1"]
-    duty.joined_at = now = time.monotonic()
-    assert not duty.is_active_at(now)
-    assert duty.is_active_at(now + _watcher_role.SETTLE_S)
+    roles = make_zone(["e1"])
+    role = roles["e1"]
+    role.joined_at = now = time.monotonic()
+    assert not role.is_active_at(now)
+    assert role.is_active_at(now + _watcher_role.SETTLE_S)
 
 
-def test_one_that_knows_nobody_yet_does_not_watch():
-    duties = make_zone(["e1"])
-    duties["e1"].is_ready = False
-    assert watching(duties) == []
+def test_a_daemon_without_a_member_list_does_not_watch():
+    roles = make_zone(["e1"])
+    roles["e1"].is_ready = False
+    assert watching(roles) == []
 
 
-def test_one_that_asked_the_store_itself_watches_until_others_can():
-    """Symptom: after a restart of all, changes are heard of only seconds later.
+def test_a_first_daemon_watches_until_others_have_settled():
+    """Guards against updates that are seconds late after a restart of all daemons.
 
-    Events: those that all others ask start first and watch; they hear of others that
-    rank before them and leave it to these, which have just been told of others.
+    The daemons through which all others join start first and watch. They leave
+    watching to daemons of a higher rank, which have just joined and do not watch yet.
     """
-    duties = make_zone(NAMES[:5])
-    last = next(name for name in NAMES[:5] if name not in watching(duties))
-    duties[last].joined_at = -math.inf
-    assert last in watching(duties)
-    settled = time.monotonic() + _watcher_role.STAY * _watcher_role.SETTLE_S
-    assert last not in watching(duties, settled)
+    roles = make_zone(NAMES[:5])
+    last = next(name for name in NAMES[:5] if name not in watching(roles))
+    roles[last].joined_at = -math.inf
+    assert last in watching(roles)
+    settled = (
+        time.monotonic() + _watcher_role.FIRST_SETTLE_FACTOR * _watcher_role.SETTLE_S
+    )
+    assert last not in watching(roles, settled)
