--- a/packages/cloudapi/src/cairnferry/cloudapi/__init__.py
+++ b/packages/cloudapi/src/cairnferry/cloudapi/__init__.py
@@ -1,8 +1,8 @@
 """Clients of the platform: table service, object store and instance list.
 
-The published protocols are the JSON protocol of Amazon DynamoDB (version
-20120810), the REST protocol of Amazon S3, and the HTTP service discovery format
-of Prometheus. No call is repeated here.
+The services use published protocols: the JSON protocol of Amazon DynamoDB (version
+20120810), the REST protocol of Amazon S3, and the HTTP service discovery format of
+Prometheus. The clients do not retry calls.
 """
 
 from cairnferry.cloudapi._instances import Instance, InstanceList
--- a/packages/cloudapi/src/cairnferry/cloudapi/_instances.py
+++ b/packages/cloudapi/src/cairnferry/cloudapi/_instances.py
@@ -1,4 +1,4 @@
-"""The platform's list of instances, in Prometheus' HTTP discovery format."""
+"""Client of the platform's instance list in the HTTP discovery format of Prometheus."""
 
 import json
 
@@ -15,18 +15,18 @@
 
 @attrs.frozen
 class Instance:
-    """One instance as the platform sees it, some time ago.
+    """One instance of the platform's list, which may be outdated.
 
     Attributes
     ----------
     name, zone : str
-        Names of the instance and of its availability zone.
+        Names of the instance and its availability zone.
     role : str
         "entry" for entry instances, "target" for targets.
     address : str
         "IP:port"; the peer address of an entry instance.
     leaving : bool
-        Whether it is about to be taken away.
+        Whether the instance is about to be terminated.
     """
 
     name: str
@@ -38,16 +38,18 @@
 
 @attrs.define
 class InstanceList:
-    """Client of the list, which lags.
+    """Client of the instance list; the list lags behind the actual state.
 
     Parameters
     ----------
     client : Client
-        Connection to the service.
+        HTTP client of the service.
     path : str
         Path of the list.
     timeout : float
-        Seconds for one call.
+        Timeout of one call in seconds.
+    meter : CallMeter, optional
+        Counts the calls.
     """
 
     client: Client
@@ -56,22 +58,22 @@
     meter: CallMeter = attrs.field(factory=CallMeter)
 
     def fetch(self) -> Result[list[Instance], TableUnavailable]:
-        """Read the list."""
+        """Return the instances of the list."""
         outcome = self.client.call(
             "GET", self.path, timeout=self.timeout, idempotent=True
         )
-        good = isinstance(outcome, Reply) and outcome.status == HTTP_OK
+        is_ok = isinstance(outcome, Reply) and outcome.status == HTTP_OK
         received = len(outcome.body) if isinstance(outcome, Reply) else 0
-        self.meter.note(write=False, sent=0, received=received, failed=not good)
-        if not good:
+        self.meter.record(write=False, sent=0, received=received, failed=not is_ok)
+        if not is_ok:
             return Error(TableUnavailable(describe_outcome(outcome)))
         try:
-            return Ok(_parse(json.loads(outcome.body)))
+            return Ok(_parse_groups(json.loads(outcome.body)))
         except (ValueError, KeyError, TypeError, IndexError):
             return Error(TableUnavailable("instance list is malformed"))
 
 
-def _parse(groups):
+def _parse_groups(groups):
     instances = []
     for group in groups:
         labels = group["labels"]
--- a/packages/cloudapi/src/cairnferry/cloudapi/_meter.py
+++ b/packages/cloudapi/src/cairnferry/cloudapi/_meter.py
@@ -1,18 +1,18 @@
-"""Counts of calls to the platform, which has a budget for them."""
+"""Counters of calls to the platform, which limits them by a budget."""
 
 import attrs
 
 
 @attrs.define
 class CallMeter:
-    """Calls and bytes since the start.
+    """Calls and bytes since the start of the daemon.
 
     Attributes
     ----------
     reads, writes, failures : int
-        Calls.
+        Number of read calls, write calls and failed calls.
     sent, received : int
-        Bytes of bodies.
+        Bytes of request and response bodies.
     """
 
     reads: int = 0
@@ -21,7 +21,7 @@
     sent: int = 0
     received: int = 0
 
-    def note(self, *, write: bool, sent: int, received: int, failed: bool) -> None:
+    def record(self, *, write: bool, sent: int, received: int, failed: bool) -> None:
         """Count one call."""
         if write:
             self.writes += 1
--- a/packages/cloudapi/src/cairnferry/cloudapi/_objects.py
+++ b/packages/cloudapi/src/cairnferry/cloudapi/_objects.py
@@ -1,4 +1,4 @@
-"""Object store over the REST protocol of Amazon S3."""
+"""Client of an object store with the REST protocol of Amazon S3."""
 
 import attrs
 from expression import Error, Ok, Result
@@ -13,7 +13,7 @@
 
 @attrs.frozen
 class ObjectStoreUnavailable:
-    """The object store gave no usable answer."""
+    """The object store returned no usable response."""
 
     reason: str
 
@@ -25,13 +25,15 @@
     Parameters
     ----------
     client : Client
-        Connection to the service.
+        HTTP client of the service.
     bucket : str
         Name of the bucket.
     signer : Signer
         Signs each request.
     timeout : float
-        Seconds for one call.
+        Timeout of one call in seconds.
+    meter : CallMeter, optional
+        Counts the calls.
     """
 
     client: Client
@@ -41,7 +43,7 @@
     meter: CallMeter = attrs.field(factory=CallMeter)
 
     def get(self, name: str) -> Result[bytes | None, ObjectStoreUnavailable]:
-        """Read an object; None if there is no such object."""
+        """Return the content of an object, or None if it does not exist."""
         outcome = self._call("GET", name, b"")
         match outcome:
             case Reply(status=status, body=body) if status == HTTP_OK:
@@ -52,7 +54,7 @@
                 return Error(ObjectStoreUnavailable(describe_outcome(outcome)))
 
     def put(self, name: str, body: bytes) -> Result[None, ObjectStoreUnavailable]:
-        """Write an object whole."""
+        """Write the complete content of an object."""
         outcome = self._call("PUT", name, body)
         if isinstance(outcome, Reply) and outcome.status == HTTP_OK:
             return Ok(None)
@@ -64,7 +66,7 @@
         outcome = self.client.call(
             method, path, timeout=self.timeout, headers=headers, body=body
         )
-        self.meter.note(
+        self.meter.record(
             write=method == "PUT",
             sent=len(body),
             received=len(outcome.body) if isinstance(outcome, Reply) else 0,
--- a/packages/cloudapi/src/cairnferry/cloudapi/_signing.py
+++ b/packages/cloudapi/src/cairnferry/cloudapi/_signing.py
@@ -1,4 +1,4 @@
-"""Signature version 4, by the library that the service's owner publishes."""
+"""Request signing with AWS Signature Version 4, using botocore."""
 
 import configparser
 
@@ -12,7 +12,7 @@
 
 @attrs.frozen
 class Credentials:
-    """Access to the platform; the secret never shows in a representation."""
+    """Credentials of the platform; the representation hides the secret."""
 
     access_key: str
     secret_key: str = attrs.field(repr=False)
@@ -20,16 +20,16 @@
 
 @attrs.define
 class Signer:
-    """Adds the signature to the headers of a request.
+    """Adds a signature to the headers of a request.
 
     Parameters
     ----------
     credentials : Credentials or None
-        None leaves requests unsigned.
+        Credentials; None leaves requests unsigned.
     service : str
-        Name of the service in the signature's scope, such as "dynamodb".
+        Service in the scope of the signature, such as "dynamodb".
     region : str
-        Region in the signature's scope.
+        Region in the scope of the signature.
     """
 
     credentials: Credentials | None
@@ -37,7 +37,7 @@
     region: str
 
     def sign(self, method, authority, path, headers, body) -> list[tuple[str, str]]:
-        """Give the headers with those of the signature added."""
+        """Return the headers together with those of the signature."""
         if self.credentials is None:
             return list(headers)
         req = AWSRequest(
@@ -61,9 +61,9 @@
     Attributes
     ----------
     path : str
-        The file.
+        Path of the file.
     reason : str
-        What is wrong, without any part of a secret.
+        Description of the error, without any part of a secret.
     """
 
     path: str
@@ -74,12 +74,12 @@
 
 
 def read_credentials(path: str) -> Credentials:
-    """Read an INI file with `access_key` and `secret_key` in [credentials].
+    """Read `access_key` and `secret_key` from section [credentials] of an INI file.
 
     Raises
     ------
     CredentialsFault
-        If the file cannot be read or lacks a key.
+        If the file cannot be read or a key is missing.
     """
     parser = configparser.ConfigParser(interpolation=None)
     try:
@@ -90,7 +90,7 @@
     except OSError as exc:
         raise CredentialsFault(path, f"cannot be read: {exc.strerror}") from None
     except (configparser.Error, UnicodeDecodeError):
-        # Their messages quote the line, which may hold the secret.
+        # The messages of these errors quote the line, which may contain the secret.
         raise CredentialsFault(path, "is not INI") from None
     except KeyError as exc:
-        raise CredentialsFault(path, f"lacks {exc}") from None
+        raise CredentialsFault(path, f"has no section or key {exc}") from None
--- a/packages/cloudapi/src/cairnferry/cloudapi/_table.py
+++ b/packages/cloudapi/src/cairnferry/cloudapi/_table.py
@@ -1,4 +1,4 @@
-"""Table over the JSON protocol of Amazon DynamoDB, version 20120810."""
+"""Client of a table with the JSON protocol of Amazon DynamoDB, version 20120810."""
 
 import hashlib
 import json
@@ -18,9 +18,9 @@
 )
 from cairnferry.wire import Client, Incomplete, NotSent, Reply, describe_outcome
 
-TARGET_PREFIX = "DynamoDB_20120810."
+OPERATION_PREFIX = "DynamoDB_20120810."
 CONTENT_TYPE = "application/x-amz-json-1.0"
-CANCELLED = "TransactionCanceledException"
+TRANSACTION_CANCELED = "TransactionCanceledException"
 TOKEN_LENGTH = 36
 HTTP_OK = 200
 HTTP_SERVER_ERROR = 500
@@ -35,14 +35,16 @@
     Parameters
     ----------
     client : Client
-        Connection to the service.
+        HTTP client of the service.
     table : str
         Name of the table. Its partition key is `pk` and its sort key `sk`, both
-        text.
+        strings.
     signer : Signer
         Signs each request.
     timeout : float
-        Seconds for one call.
+        Timeout of one call in seconds.
+    meter : CallMeter, optional
+        Counts the calls.
     """
 
     client: Client
@@ -52,29 +54,29 @@
     meter: CallMeter = attrs.field(factory=CallMeter)
 
     def read(self, key: str) -> Result[Item | None, TableUnavailable]:
-        """Read one row, consistently."""
-        answer = self._call(
+        """Return one row by a consistent read, or None if it does not exist."""
+        response = self._call(
             "GetItem",
-            {"TableName": self.table, "Key": _key(key), "ConsistentRead": True},
+            {"TableName": self.table, "Key": _encode_key(key), "ConsistentRead": True},
         )
-        if not isinstance(answer, dict):
-            return Error(TableUnavailable(describe_outcome(answer)))
-        found = answer.get("Item")
-        return Ok(_item(key, found) if found else None)
+        if not isinstance(response, dict):
+            return Error(TableUnavailable(describe_outcome(response)))
+        found = response.get("Item")
+        return Ok(_decode_item(key, found) if found else None)
 
     def read_range(
         self, prefix: str, first: int, last: int
     ) -> Result[list[Item], TableUnavailable]:
-        """Read the rows `prefix/first` to `prefix/last`, page by page."""
+        """Return the rows `prefix/first` to `prefix/last`, read page by page."""
         items = []
         start = None
         while True:
             query = self._range_query(prefix, first, last, start)
-            answer = self._call("Query", query)
-            if not isinstance(answer, dict):
-                return Error(TableUnavailable(describe_outcome(answer)))
-            items.extend(_item(prefix, row) for row in answer["Items"])
-            start = answer.get("LastEvaluatedKey")
+            response = self._call("Query", query)
+            if not isinstance(response, dict):
+                return Error(TableUnavailable(describe_outcome(response)))
+            items.extend(_decode_item(prefix, row) for row in response["Items"])
+            start = response.get("LastEvaluatedKey")
             if start is None:
                 return Ok(items)
 
@@ -84,8 +86,8 @@
             "KeyConditionExpression": "pk = :p AND sk BETWEEN :first AND :last",
             "ExpressionAttributeValues": {
                 ":p": {"S": prefix},
-                ":first": {"S": _padded(first)},
-                ":last": {"S": _padded(last)},
+                ":first": {"S": _sort_key(first)},
+                ":last": {"S": _sort_key(last)},
             },
             "ConsistentRead": True,
         }
@@ -94,21 +96,21 @@
         return query
 
     def transact(self, writes: tuple[Write, ...]) -> Result[None, TableError]:
-        """Write all rows if each condition holds, else none."""
-        items = [{"Put": self._put(write)} for write in writes]
+        """Write all rows if every condition is met, otherwise none."""
+        items = [{"Put": self._encode_put(write)} for write in writes]
         body = json.dumps(items, sort_keys=True)
         token = hashlib.sha256(body.encode()).hexdigest()[:TOKEN_LENGTH]
-        answer = self._call(
+        response = self._call(
             "TransactWriteItems",
             {"TransactItems": items, "ClientRequestToken": token},
             write=True,
         )
-        if isinstance(answer, dict):
+        if isinstance(response, dict):
             return Ok(None)
-        return Error(_write_error(answer, writes))
+        return Error(_error_of_write(response, writes))
 
-    def _put(self, write):
-        attributes = _key(write.item.key)
+    def _encode_put(self, write):
+        attributes = _encode_key(write.item.key)
         attributes["version"] = {"N": str(write.item.version)}
         attributes["body"] = {"S": write.item.body}
         put = {"TableName": self.table, "Item": attributes}
@@ -122,27 +124,29 @@
         return put
 
     def _call(self, operation, document, write=False):
-        """Give the decoded answer, or the failed outcome of the exchange."""
+        """Return the decoded response, or the failed outcome of the exchange."""
         body = json.dumps(document).encode()
         headers = [
             ("Content-Type", CONTENT_TYPE),
-            ("X-Amz-Target", TARGET_PREFIX + operation),
+            ("X-Amz-Target", OPERATION_PREFIX + operation),
         ]
         headers = self.signer.sign("POST", self.client.authority, "/", headers, body)
         outcome = self.client.call(
             "POST", "/", timeout=self.timeout, headers=headers, body=body
         )
-        good = isinstance(outcome, Reply) and outcome.status == HTTP_OK
+        is_ok = isinstance(outcome, Reply) and outcome.status == HTTP_OK
         received = len(outcome.body) if isinstance(outcome, Reply) else 0
-        self.meter.note(write=write, sent=len(body), received=received, failed=not good)
-        return json.loads(outcome.body) if good else outcome
+        self.meter.record(
+            write=write, sent=len(body), received=received, failed=not is_ok
+        )
+        return json.loads(outcome.body) if is_ok else outcome
 
 
-def _write_error(outcome, writes):
-    """Say what a failed call proves.
+def _error_of_write(outcome, writes):
+    """Return the error of a failed write.
 
-    Only an answer of the service's own with a client error proves that nothing
-    was written. A server error, or no answer, may come after the commit.
+    Only a response of the service with a client error proves that nothing was written.
+    A server error or a missing response may follow a commit.
     """
     match outcome:
         case NotSent():
@@ -152,16 +156,16 @@
         case Reply(status=status) if status >= HTTP_SERVER_ERROR:
             return WriteUnknown(describe_outcome(outcome))
         case Reply(body=body):
-            return _refusal(body, writes)
+            return _error_of_refusal(body, writes)
 
 
-def _refusal(body, writes):
+def _error_of_refusal(body, writes):
     try:
         document = json.loads(body)
     except ValueError:
-        return TableUnavailable("answer is not JSON")
+        return TableUnavailable("response is not JSON")
     name = document.get("__type", "").rpartition("#")[2]
-    if name != CANCELLED:
+    if name != TRANSACTION_CANCELED:
         return TableUnavailable(name)
     reasons = document.get("CancellationReasons", [])
     keys = [
@@ -172,17 +176,17 @@
     return ConditionFailed(tuple(keys))
 
 
-def _key(key):
-    """Split "prefix/number" so that a range of numbers can be read."""
+def _encode_key(key):
+    """Return the key attributes of a row; "prefix/number" allows range queries."""
     prefix, _, number = key.rpartition("/")
     if number.isdecimal():
-        return {"pk": {"S": prefix}, "sk": {"S": _padded(int(number))}}
+        return {"pk": {"S": prefix}, "sk": {"S": _sort_key(int(number))}}
     return {"pk": {"S": key}, "sk": {"S": NO_SORT_KEY}}
 
 
-def _padded(number):
+def _sort_key(number):
     return str(number).zfill(NUMBER_WIDTH)
 
 
-def _item(key, attributes):
+def _decode_item(key, attributes):
     return Item(key, int(attributes["version"]["N"]), attributes["body"]["S"])
--- a/packages/coordination/src/cairnferry/coordination/__init__.py
+++ b/packages/coordination/src/cairnferry/coordination/__init__.py
@@ -1,9 +1,10 @@
-"""Coordination parts that need no consensus of their own.
+"""Coordination of daemons without a consensus protocol of their own.
 
-Everything that must be agreed or must last goes through a table with
-conditional transactions; everything else is done by rank, with duplicates that
-do no harm. Clock and random source are passed in, and nothing here opens a
-socket, so that others can embed each part.
+State that must be agreed on or must persist is stored in a table with conditional
+transactions. All other work is assigned by rendezvous rank, and two members that do
+the same work at the same time do no harm. The clock and the random source are
+parameters, and no module here opens a socket, so that other programs can embed each
+part.
 """
 
 from cairnferry.coordination._budgets import TokenBucket
@@ -24,8 +25,8 @@
     DocumentFault,
     DocumentHistory,
     DocumentNews,
-    difference,
-    patched,
+    apply_delta,
+    encode_delta,
 )
 from cairnferry.coordination._eras import MAX_ERA, era_of, stamp, version_of
 from cairnferry.coordination._groupcommit import GroupCommit, PendingChange
@@ -46,7 +47,7 @@
     Write,
     WriteUnknown,
 )
-from cairnferry.coordination._tablecopy import Batch, Row, TableReplica, TableUpdate
+from cairnferry.coordination._table_replica import Batch, Row, TableReplica, TableUpdate
 
 __all__ = [
     "AppendError",
@@ -84,10 +85,10 @@
     "TokenBucket",
     "Write",
     "WriteUnknown",
-    "difference",
+    "encode_delta",
     "era_of",
     "lowest_ranked",
-    "patched",
+    "apply_delta",
     "rank",
     "stamp",
     "version_of",
--- a/packages/coordination/src/cairnferry/coordination/_budgets.py
+++ b/packages/coordination/src/cairnferry/coordination/_budgets.py
@@ -1,20 +1,20 @@
-"""Budgets that fill with time."""
+"""Budgets that are replenished over time."""
 
 import attrs
 
 
 @attrs.define
 class TokenBucket:
-    """Tokens that come at a rate and are spent.
+    """Token bucket that is refilled at a constant rate.
 
     Parameters
     ----------
     rate : float
-        Tokens a second; may be changed at any time.
+        Tokens per second; may be changed at any time.
     burst : float
-        Most tokens held.
+        Maximum number of tokens in the bucket.
     now : float
-        Monotonic time in seconds at the start; the bucket starts empty.
+        Monotonic time of creation in seconds; the bucket starts empty.
     """
 
     rate: float
@@ -23,14 +23,20 @@
     tokens: float = 0.0
 
     def take(self, now: float, count: float = 1) -> bool:
-        """Spend one token or several, if there are so many.
+        """Remove tokens from the bucket if it holds enough of them.
 
         Parameters
         ----------
         now : float
-            Monotonic time in seconds. A clock that went back adds nothing.
+            Monotonic time in seconds. If it is earlier than at the previous call, no
+            tokens are added.
         count : float, optional
-            Tokens to spend.
+            Number of tokens to remove.
+
+        Returns
+        -------
+        bool
+            Whether the tokens were removed.
         """
         elapsed = max(0.0, now - self.now)
         self.now = max(self.now, now)
--- a/packages/coordination/src/cairnferry/coordination/_changelog.py
+++ b/packages/coordination/src/cairnferry/coordination/_changelog.py
@@ -1,9 +1,9 @@
-"""The log of changes in a table: accepted once, never back.
+"""Append-only log of changes, stored in a table.
 
-A head row holds the last revision. Revision r + 1 is written by one transaction
-on the condition that the head is r, together with a row for each change ID. The
-head's condition puts all changes into one order, so that the revisions of single
-records need no rows of their own: they follow from the log up to r.
+The head row holds the last revision. One transaction writes revision r + 1 and a row
+for each change ID, on the condition that the head is r. This condition puts all changes
+into a total order. The revisions of single records need no rows of their own, as they
+can be derived from the log up to r.
 """
 
 import json
@@ -23,12 +23,12 @@
 HEAD_KEY = "head"
 LOG_PREFIX = "log"
 ID_PREFIX = "id"
-# The published limits of the table service are 400 KB a row and 100 rows a
-# transaction; the margins leave room for key, version and head row.
+# The table service allows 400 KB per row and 100 rows per transaction. The margins
+# leave space for the key, the version and the head row.
 MAX_ROW_BYTES = 350 * 1024
-MAX_GROUP = 90
+MAX_GROUP_CHANGES = 90
 MAX_ATTEMPTS = 4
-RANGE_PAGE = 100
+RANGE_PAGE_ROWS = 100
 
 
 @attrs.frozen
@@ -38,7 +38,7 @@
     Attributes
     ----------
     revision : int
-        From 1, without gaps.
+        Number of the revision; consecutive from 1.
     changes : tuple of dict
         JSON documents of the changes, each with its `change_id`.
     """
@@ -47,18 +47,18 @@
     changes: tuple[dict, ...]
 
     def to_body(self) -> str:
-        """Encode for the table or a peer."""
+        """Return the changes as JSON, for the table or a peer."""
         return json.dumps(list(self.changes), separators=(",", ":"))
 
     @classmethod
     def from_body(cls, revision: int, body: str) -> "LogRow":
-        """Decode what `to_body` gave."""
+        """Return the row that `to_body` encoded."""
         return cls(revision, tuple(json.loads(body)))
 
 
 @attrs.frozen
 class Appended:
-    """The changes are accepted at `revision`, and stay so."""
+    """The changes are accepted permanently, at `revision`."""
 
     revision: int
 
@@ -68,7 +68,7 @@
     """Another change was accepted first; nothing was written."""
 
     def __str__(self):
-        return "other changes were accepted first, again and again"
+        return "other changes were accepted first in every attempt"
 
 
 @attrs.frozen
@@ -83,7 +83,7 @@
 
 @attrs.frozen
 class OutcomeUnknown:
-    """Whether the changes were accepted could not be learnt in time."""
+    """Whether the changes were accepted could not be determined in time."""
 
     reason: str
 
@@ -99,7 +99,7 @@
     limit: int = MAX_ROW_BYTES
 
     def __str__(self):
-        return f"the change has {self.size} bytes, of {self.limit}: split it"
+        return f"the change has {self.size} bytes, the limit is {self.limit}: split it"
 
 
 AppendError = (
@@ -109,12 +109,12 @@
 
 @attrs.frozen
 class ChangeStatus:
-    """What is known of a change ID.
+    """Status of a change ID.
 
     Attributes
     ----------
     revision : int or None
-        Revision that accepted it; None if no such row stands so far.
+        Revision that accepted the change; None if the log has no row for the ID yet.
     """
 
     revision: int | None
@@ -122,32 +122,32 @@
 
 @attrs.define
 class ChangeLog:
-    """Reader of and writer to the log.
+    """Reader and writer of the log.
 
     Parameters
     ----------
     table : Table
-        The platform's table.
-    pause : callable
-        Takes the number of the attempt from 1; waits before the next one, with
-        jitter, and tells whether there is time for it.
+        Table that stores the log.
+    backoff : callable
+        Called with the number of the attempt, from 1. Waits with jitter before the
+        next attempt and returns whether there is time left for it.
     """
 
     table: Table
-    pause: Callable[[int], bool]
+    backoff: Callable[[int], bool]
 
     def head(self) -> Result[int, TableUnavailable]:
-        """Read the last accepted revision; 0 for an empty log."""
+        """Return the last accepted revision; 0 for an empty log."""
         return self.table.read(HEAD_KEY).map(lambda item: item.version if item else 0)
 
     def rows(self, first: int, last: int) -> Result[list[LogRow], TableUnavailable]:
-        """Read revisions `first` to `last`, a page of them at the most."""
-        last = min(last, first + RANGE_PAGE - 1)
+        """Return revisions `first` to `last`, at most one page of them."""
+        last = min(last, first + RANGE_PAGE_ROWS - 1)
         found = self.table.read_range(LOG_PREFIX, first, last)
         return found.map(lambda items: [_row_of(item) for item in items])
 
     def status(self, change_id: str) -> Result[ChangeStatus, TableUnavailable]:
-        """Ask what became of a change ID."""
+        """Return the status of a change ID."""
         found = self.table.read(f"{ID_PREFIX}/{change_id}")
         return found.map(lambda item: ChangeStatus(item.version if item else None))
 
@@ -159,41 +159,41 @@
         Parameters
         ----------
         head : int
-            Revision against which the changes were checked.
+            Revision on which the changes were validated.
         changes : tuple of dict
             JSON documents of the changes, each with its `change_id`.
 
         Notes
         -----
-        An answer may be lost after the write took effect. Submitting the same
-        content under another ID would then apply it twice. Here the same
-        transaction is sent again: while its ID rows are absent it can take
-        effect once only, and when they are present it has.
+        A response may be lost after the write took effect. Submitting the same
+        content under another ID would then apply it twice. Instead, the same
+        transaction is sent again: if its ID rows are absent, it can take effect only
+        once, and if they are present, it has taken effect.
         """
         row = LogRow(head + 1, changes)
         body = row.to_body()
         if len(body) > MAX_ROW_BYTES:
             return Error(LogTooLarge(len(body)))
         writes = _transaction(head, body, changes)
-        doubtful = False
+        may_be_written = False
         for attempt in range(1, MAX_ATTEMPTS + 1):
             written = self.table.transact(writes)
             if written.is_ok():
                 return Ok(Appended(head + 1))
             match written.error:
                 case ConditionFailed():
-                    return self._resolve_condition(head, changes)
+                    return self._resolve_failed_condition(head, changes)
                 case TableUnavailable() as unavailable:
-                    if not doubtful:
+                    if not may_be_written:
                         return Error(unavailable)
                 case _:
-                    doubtful = True
-            if not self.pause(attempt):
+                    may_be_written = True
+            if not self.backoff(attempt):
                 break
-        return self._resolve_doubt(changes)
+        return self._resolve_unknown(changes)
 
-    def _resolve_condition(self, head, changes):
-        """Tell an own write that had taken effect from another's."""
+    def _resolve_failed_condition(self, head, changes):
+        """Determine whether an own earlier attempt or another writer moved the head."""
         status = self.status(changes[0]["change_id"])
         if status.is_error():
             return Error(OutcomeUnknown(status.error.reason))
@@ -201,12 +201,12 @@
             return Ok(Appended(head + 1))
         return Error(HeadMoved())
 
-    def _resolve_doubt(self, changes):
-        """Read the ID row a last time; its absence proves nothing."""
+    def _resolve_unknown(self, changes):
+        """Read the ID row once more; its absence proves nothing."""
         status = self.status(changes[0]["change_id"])
         if status.is_ok() and status.ok.revision is not None:
             return Ok(Appended(status.ok.revision))
-        return Error(OutcomeUnknown("the answer was lost"))
+        return Error(OutcomeUnknown("the response was lost"))
 
 
 def _transaction(head, body, changes):
--- a/packages/coordination/src/cairnferry/coordination/_documents.py
+++ b/packages/coordination/src/cairnferry/coordination/_documents.py
@@ -1,7 +1,8 @@
-"""Versions of one large document, told as what differs from an earlier one.
+"""Delta encoding of the versions of one large document.
 
-A document of thousands of rules changes in one or two of them. Daemons that hold the
-version before need no more than these; one that holds none gets the whole, packed.
+A change usually affects one or two of the thousands of rules in a document. A daemon
+that holds the previous version receives only the difference; a daemon that holds no
+version receives the complete document, compressed.
 """
 
 import json
@@ -10,29 +11,29 @@
 
 import attrs
 
-# Versions that are kept, to tell others what has changed since: several changes in the
-# time in which a version reaches all.
-MAX_KEPT = 4
-# Pieces in which two versions are compared: up to the end of a brace.
+# Number of versions kept as bases of deltas. Several changes can be made before a
+# version has reached all daemons.
+MAX_KEPT_VERSIONS = 4
+# Pieces in which two versions are compared; a piece ends with closing braces.
 _PIECE = re.compile(rb"[^}]*\}+|[^}]+\Z")
 
 
 class DocumentFault(Exception):
-    """News of a document that does not fit what is held, or cannot be read."""
+    """An update of a document cannot be decoded or has a base that is not held."""
 
 
 @attrs.frozen
 class DocumentNews:
-    """What one holder of a document tells another.
+    """Update of a document that one daemon sends to another.
 
     Attributes
     ----------
     revision : int
-        Revision that this makes; 0 if there is nothing to tell now.
+        Revision of the document after the update; 0 if there is no update.
     base : int
-        Revision that it builds on; 0 if it is the whole document.
+        Revision to which the update applies; 0 if it holds the complete document.
     packed : bytes
-        The whole document or the difference, compressed.
+        The complete document or the delta, compressed.
     """
 
     revision: int
@@ -45,111 +46,117 @@
 
 @attrs.define
 class DocumentHistory:
-    """The newest version of a document, and some before it."""
+    """The newest version of a document and some earlier ones.
+
+    Attributes
+    ----------
+    revision : int
+        Revision of the newest version; 0 if there is none.
+    """
 
     revision: int = 0
     _packed: dict[int, bytes] = attrs.field(factory=dict)
-    _differences: dict[int, bytes] = attrs.field(factory=dict)
+    _deltas: dict[int, bytes] = attrs.field(factory=dict)
 
     def add(self, revision: int, document: bytes) -> None:
-        """Take in a newer version."""
+        """Add a newer version."""
         self.revision = revision
         self._packed[revision] = zlib.compress(document)
-        self._differences = {}
-        while len(self._packed) > MAX_KEPT:
+        self._deltas = {}
+        while len(self._packed) > MAX_KEPT_VERSIONS:
             del self._packed[next(iter(self._packed))]
 
     def news_since(self, revision: int) -> DocumentNews:
-        """Give what one lacks that holds a revision; 0 if it holds none."""
+        """Return the update for a daemon that holds `revision`; 0 if it holds none."""
         if revision >= self.revision:
             return NO_DOCUMENT_NEWS
         if revision in self._packed:
-            return DocumentNews(self.revision, revision, self._since(revision))
+            return DocumentNews(self.revision, revision, self._delta_since(revision))
         return DocumentNews(self.revision, 0, self._packed[self.revision])
 
-    def _since(self, revision):
-        known = self._differences.get(revision)
-        if known is None:
+    def _delta_since(self, revision):
+        delta = self._deltas.get(revision)
+        if delta is None:
             old, new = self._get(revision), self._get(self.revision)
-            known = self._differences[revision] = difference(old, new)
-        return known
+            delta = self._deltas[revision] = encode_delta(old, new)
+        return delta
 
     def _get(self, revision):
         return zlib.decompress(self._packed[revision])
 
-    def read(self, news: DocumentNews) -> bytes:
-        """Give the document that another one told of.
+    def read(self, update: DocumentNews) -> bytes:
+        """Return the document that results from an update.
 
         Raises
         ------
         DocumentFault
-            If it builds on a version that is not held, or cannot be read.
+            If the base of the update is not held, or the update cannot be decoded.
         """
         try:
-            if not news.base:
-                return zlib.decompress(news.packed)
-            return patched(self._get(news.base), news.packed)
+            if not update.base:
+                return zlib.decompress(update.packed)
+            return apply_delta(self._get(update.base), update.packed)
         except KeyError as exc:
-            raise DocumentFault(f"revision {news.base} is not held") from exc
+            raise DocumentFault(f"revision {update.base} is not held") from exc
         except zlib.error as exc:
-            raise DocumentFault(f"revision {news.revision}: {exc}") from exc
+            raise DocumentFault(f"revision {update.revision}: {exc}") from exc
 
 
-def difference(old: bytes, new: bytes) -> bytes:
-    """Give what turns one document into another, compressed.
+def encode_delta(old: bytes, new: bytes) -> bytes:
+    """Return the compressed delta that turns one document into another.
 
-    Parts that both have are told by their place in the old one.
+    Pieces that both documents contain are encoded by their position in the old one.
     """
-    places = {}
+    positions = {}
     pieces = _PIECE.findall(old)
-    for place, piece in enumerate(pieces):
-        places.setdefault(piece, place)
+    for position, piece in enumerate(pieces):
+        positions.setdefault(piece, position)
     steps = []
     for piece in _PIECE.findall(new):
-        _add_step(steps, piece, pieces, places)
+        _add_step(steps, piece, pieces, positions)
     document = {"crc": zlib.crc32(new), "steps": steps}
     return zlib.compress(json.dumps(document, separators=(",", ":")).encode())
 
 
-def _add_step(steps, piece, pieces, places):
+def _add_step(steps, piece, pieces, positions):
     last = steps[-1] if steps else None
     if isinstance(last, list):
         following = last[0] + last[1]
         if following < len(pieces) and pieces[following] == piece:
             last[1] += 1
             return
-    if piece in places:
-        steps.append([places[piece], 1])
+    if piece in positions:
+        steps.append([positions[piece], 1])
     elif isinstance(last, str):
         steps[-1] = last + piece.decode("latin-1")
     else:
         steps.append(piece.decode("latin-1"))
 
 
-def patched(old: bytes, packed: bytes) -> bytes:
-    """Apply what `difference` gave.
+def apply_delta(old: bytes, packed: bytes) -> bytes:
+    """Apply a delta of `encode_delta` to a document.
 
     Raises
     ------
     DocumentFault
-        If it was made from another document, or cannot be read.
+        If the delta was made from another document, or cannot be decoded.
     zlib.error
-        If it is not compressed.
+        If the delta is not compressed.
     """
     pieces = _PIECE.findall(old)
     try:
         document = json.loads(zlib.decompress(packed))
-        parts = [_part_of(step, pieces) for step in document["steps"]]
+        parts = [_decode_step(step, pieces) for step in document["steps"]]
         expected = document["crc"]
     except (ValueError, TypeError, LookupError) as exc:
-        raise DocumentFault(f"difference: {type(exc).__name__}: {exc}") from exc
+        raise DocumentFault(f"malformed delta: {type(exc).__name__}: {exc}") from exc
     new = b"".join(parts)
     if zlib.crc32(new) != expected:
-        raise DocumentFault("difference: made from another document")
+        raise DocumentFault("delta was made from another document")
     return new
 
 
-def _part_of(step, pieces):
+def _decode_step(step, pieces):
     if isinstance(step, str):
         return step.encode("latin-1")
     first, count = step
--- a/packages/coordination/src/cairnferry/coordination/_eras.py
+++ b/packages/coordination/src/cairnferry/coordination/_eras.py
@@ -1,29 +1,30 @@
-"""Versions of a store that may come back from a copy of itself.
+"""Version stamps for a store that may be restored from a backup.
 
-Such a store gives versions out again that it had given out before, for other changes.
-A number alone then tells nothing: whoever holds version 500 of what was lost would take
-480 to 500 of what came after for known. The store counts its eras, one more each time
-it comes back so. A stamp holds both, and orders as the two do: all stamps of an era are
-later than those of the eras before it.
+A restored store assigns versions a second time, to other changes, so that a version
+alone is ambiguous: a daemon that holds version 500 from before the restore would skip
+the changes that are numbered 480 to 500 after it. The store therefore counts its eras
+and increments the era at each restore. A stamp combines era and version, and is ordered
+first by era, then by version.
 """
 
-# Bits of a stamp that hold the version: 300 years of a hundred changes a second. 23 are
-# left for eras in the 64 bits in which daemons tell each other of stamps.
+# Bits of a stamp that hold the version. They last for 300 years at a hundred changes
+# per second. 23 bits are left for the era, as daemons exchange stamps as signed 64-bit
+# integers.
 VERSION_BITS = 40
 _VERSION_MASK = (1 << VERSION_BITS) - 1
 MAX_ERA = (1 << (63 - VERSION_BITS)) - 1
 
 
 def stamp(era: int, version: int) -> int:
-    """Give the stamp of a version in an era; 0 stays 0, which is no version."""
+    """Return the stamp of a version in an era; 0 for version 0, which means none."""
     return (era << VERSION_BITS) | version if version else 0
 
 
-def era_of(stamped: int) -> int:
-    """Give the era of a stamp."""
-    return stamped >> VERSION_BITS
+def era_of(stamp_value: int) -> int:
+    """Return the era of a stamp."""
+    return stamp_value >> VERSION_BITS
 
 
-def version_of(stamped: int) -> int:
-    """Give the version as the store knows it."""
-    return stamped & _VERSION_MASK
+def version_of(stamp_value: int) -> int:
+    """Return the version of a stamp, as numbered by the store."""
+    return stamp_value & _VERSION_MASK
--- a/packages/coordination/src/cairnferry/coordination/_groupcommit.py
+++ b/packages/coordination/src/cairnferry/coordination/_groupcommit.py
@@ -1,4 +1,4 @@
-"""Many waiting submissions, few transactions."""
+"""Group commit of waiting submissions in few transactions."""
 
 from collections.abc import Callable
 
@@ -6,7 +6,7 @@
 from expression import Error, Ok
 
 from cairnferry.coordination._changelog import (
-    MAX_GROUP,
+    MAX_GROUP_CHANGES,
     MAX_ROW_BYTES,
     Appended,
     ChangeIdReused,
@@ -16,22 +16,22 @@
     LogTooLarge,
 )
 
-# Each lost race means that another daemon's change was accepted, so that the
-# whole makes progress; the bound keeps a single submission from waiting for ever.
+# Each lost race means that the change of another daemon was accepted, so the system as
+# a whole makes progress. The limit keeps a single submission from waiting for ever.
 MAX_REBASES = 20
 
 
 @attrs.define(eq=False)
 class PendingChange:
-    """A submission that waits for its outcome.
+    """Submitted change that waits for its outcome.
 
     Attributes
     ----------
     change : dict
         JSON document of the change, with its `change_id`.
     resolve : callable
-        Called once with a Result: Appended, an AppendError, or the error that
-        `check` gave.
+        Called once with a Result: Appended, an AppendError, or the error of the
+        validation that `GroupCommit.begin` returned.
     """
 
     change: dict
@@ -40,19 +40,19 @@
 
 @attrs.define
 class GroupCommit:
-    """Commits what waits, as one revision where it can.
+    """Commits the waiting submissions, as one revision where possible.
 
     Parameters
     ----------
     log : ChangeLog
         The log of changes.
     refresh : callable
-        Brings the local state up to the log's head; gives the revision that is
-        held, as a Result.
+        Updates the local state to the head of the log; returns the revision of that
+        state as a Result.
     begin : callable
-        Starts a group on top of the state that is held. Gives a callable that
-        takes a change and gives a Result: an error if the change does not hold
-        on top of those taken before, which it then leaves as they were.
+        Starts a group on top of the local state. Returns a callable that validates a
+        change on top of those accepted into the group before and returns a Result. A
+        change that fails validation leaves the group unchanged.
     """
 
     log: ChangeLog
@@ -64,57 +64,59 @@
 
         Notes
         -----
-        When operators release a frozen batch at once, every daemon races for
-        the head row. One transaction for all that wait at a daemon keeps the
-        number of writes near the number of daemons, not of submissions.
+        When operators release a frozen batch of changes at once, all daemons compete
+        for the head row. With one transaction for all submissions that wait at a
+        daemon, the number of writes grows with the number of daemons, not with the
+        number of submissions.
         """
-        remaining = _join_repeated_ids(waiting)
+        remaining = _merge_duplicates(waiting)
         for attempt in range(1, MAX_REBASES + 1):
             remaining = self._commit_group(remaining)
-            if not remaining or not self.log.pause(attempt):
+            if not remaining or not self.log.backoff(attempt):
                 break
         _resolve_all(remaining, Error(HeadMoved()))
 
     def _commit_group(self, waiting):
-        """Try one transaction; give back what still waits."""
+        """Try one transaction; return the submissions that still wait."""
         refreshed = self.refresh()
         if refreshed.is_error():
             _resolve_all(waiting, refreshed)
             return []
         head = refreshed.ok
-        waiting = self._drop_known(waiting)
-        group, rest = self._select(waiting)
+        waiting = self._resolve_known(waiting)
+        group, deferred = self._select_group(waiting)
         if not group:
-            return rest
+            return deferred
         changes = tuple(pending.change for pending in group)
         appended = self.log.append(head, changes)
         if appended.is_error() and isinstance(appended.error, HeadMoved):
-            return group + rest
+            return group + deferred
         if appended.is_ok():
-            # Who reads at this daemon after it was told "accepted" shall find it.
+            # An operator whose change was reported as accepted must find it in a read
+            # at this daemon.
             self.refresh()
         _resolve_all(group, appended)
-        return rest
+        return deferred
 
-    def _drop_known(self, waiting):
+    def _resolve_known(self, waiting):
         """Resolve submissions whose ID the log already holds.
 
-        An operator whose answer was lost sends the same change again. Without
-        this it would be refused as a conflict with itself.
+        An operator who did not receive the response sends the same change again.
+        Without this check the change would be refused as a conflict with itself.
         """
-        unknown = []
+        new = []
         for pending in waiting:
             status = self.log.status(pending.change["change_id"])
             if status.is_error():
                 pending.resolve(status)
             elif status.ok.revision is None:
-                unknown.append(pending)
+                new.append(pending)
             else:
-                pending.resolve(self._accepted_before(pending, status.ok.revision))
-        return unknown
+                pending.resolve(self._outcome_of_known(pending, status.ok.revision))
+        return new
 
-    def _accepted_before(self, pending, revision):
-        """Tell the same change, sent again, from another under the same ID."""
+    def _outcome_of_known(self, pending, revision):
+        """Return the outcome of a repeated change; an error if its content differs."""
         rows = self.log.rows(revision, revision)
         if rows.is_error():
             return rows
@@ -122,10 +124,10 @@
             return Ok(Appended(revision))
         return Error(ChangeIdReused(pending.change["change_id"]))
 
-    def _select(self, waiting):
-        """Choose what goes into one row; refuse what does not hold."""
+    def _select_group(self, waiting):
+        """Select the changes that fit into one row; refuse those that are invalid."""
         group = []
-        rest = []
+        deferred = []
         size = 0
         check = self.begin()
         for pending in waiting:
@@ -133,8 +135,8 @@
             if length > MAX_ROW_BYTES:
                 pending.resolve(Error(LogTooLarge(length)))
                 continue
-            if len(group) == MAX_GROUP or size + length > MAX_ROW_BYTES:
-                rest.append(pending)
+            if len(group) == MAX_GROUP_CHANGES or size + length > MAX_ROW_BYTES:
+                deferred.append(pending)
                 continue
             checked = check(pending.change)
             if checked.is_error():
@@ -142,33 +144,33 @@
                 continue
             group.append(pending)
             size += length
-        return group, rest
+        return group, deferred
 
 
-def _join_repeated_ids(waiting):
-    """Let submissions of the same change share one outcome.
+def _merge_duplicates(waiting):
+    """Merge submissions of the same change, so that they share one outcome.
 
-    A tool that timed out sends again while the first copy still waits.
+    A tool that timed out sends the change again while the first submission waits.
     """
-    first = {}
+    by_id = {}
     for pending in waiting:
         change_id = pending.change["change_id"]
-        known = first.get(change_id)
-        if known is None:
-            first[change_id] = pending
-        elif known.change == pending.change:
-            first[change_id] = _both(known, pending)
+        earlier = by_id.get(change_id)
+        if earlier is None:
+            by_id[change_id] = pending
+        elif earlier.change == pending.change:
+            by_id[change_id] = _share_outcome(earlier, pending)
         else:
             pending.resolve(Error(ChangeIdReused(change_id)))
-    return list(first.values())
+    return list(by_id.values())
 
 
-def _both(one, other):
+def _share_outcome(first, second):
     def resolve(result):
-        one.resolve(result)
-        other.resolve(result)
+        first.resolve(result)
+        second.resolve(result)
 
-    return PendingChange(one.change, resolve)
+    return PendingChange(first.change, resolve)
 
 
 def _resolve_all(waiting, result):
--- a/packages/coordination/src/cairnferry/coordination/_membership.py
+++ b/packages/coordination/src/cairnferry/coordination/_membership.py
@@ -1,12 +1,12 @@
-"""Who is there: direct heartbeats decide, an incarnation number orders.
+"""Gossip membership with direct heartbeats and incarnation numbers.
 
-Each member calls a few others a round, whatever the number of members. What
-was learnt travels with those calls, a few times for each piece of news. So the
-cost of a member does not grow with the size of its group.
+In each round a member sends heartbeats to a constant number of other members. Updates
+on the state of members are piggybacked on these heartbeats, each update a limited
+number of times. The cost per member therefore does not depend on the size of the group.
 
-The group is an availability zone: its members know each other in full, and a few
-representatives of each other zone. 312 members that all knew each other told one
-another 312 times 312 pieces of news at a start.
+A group is an availability zone. Members hold the complete membership of their own zone
+and a few representatives of each other zone. If all 312 members of an installation
+held each other's state, they would send 312 times 312 updates at a start.
 """
 
 import enum
@@ -18,17 +18,19 @@
 
 from cairnferry.coordination._rendezvous import lowest_ranked
 
-NEWS_FACTOR = 3
-MAX_NEWS = 12
-# Members of a zone that other zones know: all of a small one, and in a large one so
-# many that the loss of most of them leaves some.
+# Number of sends of an update, per doubling of the number of members.
+GOSSIP_FACTOR = 3
+# Maximum number of updates in one message.
+MAX_UPDATES = 12
+# Number of members of a zone that other zones hold: all members of a small zone, and
+# enough of a large one that some remain when most of them are lost.
 REPRESENTATIVES = 8
-# What members are ranked by, for whatever only some of a zone do.
+# Key of the rendezvous ranks that assign work which only some members of a zone do.
 RANK_KEY = "representative"
 
 
 class MemberState(enum.IntEnum):
-    """State of a member; at the same incarnation the higher one holds."""
+    """State of a member; at the same incarnation, the higher state takes precedence."""
 
     ALIVE = 0
     SUSPECTED = 1
@@ -38,7 +40,7 @@
 
 @attrs.frozen
 class Member:
-    """What is known of one daemon.
+    """State of one daemon as seen by another.
 
     Attributes
     ----------
@@ -47,13 +49,13 @@
     zone : str
         Availability zone.
     peer_address : str
-        "IP:port" for other daemons.
+        "IP:port" for connections from other daemons.
     caller_address : str
-        "IP:port" for callers.
+        "IP:port" for connections from callers.
     incarnation : int
-        Raised by the member itself alone, at a start and to refute a suspicion.
+        Incremented only by the member itself, at a start and to refute a suspicion.
     state : MemberState
-        State.
+        State of the member.
     """
 
     name: str
@@ -64,21 +66,21 @@
     state: MemberState
 
     def supersedes(self, other: "Member") -> bool:
-        """Tell whether this is later news than `other` of the same member."""
+        """Return whether this is a later state than `other` of the same member."""
         return (self.incarnation, self.state) > (other.incarnation, other.state)
 
 
 @attrs.frozen
 class MembershipTimes:
-    """Times in seconds.
+    """Timeouts in seconds.
 
     Attributes
     ----------
     suspicion : float
-        From suspected to gone.
-    memory : float
-        For which a gone member is remembered, so that old news cannot bring it
-        back.
+        Time after which a suspected member is considered gone.
+    retention : float
+        Time for which a gone member is remembered, so that old updates cannot revive
+        it.
     """
 
     suspicion: float = 4.0
@@ -87,18 +89,18 @@
 
 @attrs.define
 class Membership:
-    """One daemon's view of all.
+    """One daemon's view of all members.
 
     Parameters
     ----------
     me : Member
         This daemon.
     rng : random.Random
-        For the order of calls.
+        Random source for the order of calls.
     times : MembershipTimes
-        Delays.
+        Timeouts.
     on_change : callable, optional
-        Called with what was known of a member, or None, and what is known now.
+        Called with the previous state of a member, or None, and its new state.
     """
 
     me: Member
@@ -107,60 +109,62 @@
     on_change: Callable[[Member | None, Member], None] | None = None
     _members: dict[str, Member] = attrs.field(factory=dict)
     _changed_at: dict[str, float] = attrs.field(factory=dict)
-    _news: dict[str, int] = attrs.field(factory=dict)
-    _round: list[str] = attrs.field(factory=list)
+    _sends_left: dict[str, int] = attrs.field(factory=dict)
+    _call_order: list[str] = attrs.field(factory=list)
 
     def merge(self, member: Member, now: float) -> bool:
-        """Take in news; give back whether it was later than what was known.
+        """Apply an update; return whether it was newer than the state held.
 
         Notes
         -----
-        News of this daemon itself that calls it suspected or gone is refuted by
-        a higher incarnation: a paused instance that wakes is heard again, and
-        cannot undo what was learnt since of others.
+        An update that calls this daemon itself suspected or gone is refuted with a
+        higher incarnation. So a paused instance that resumes is accepted again, and
+        its outdated view cannot revert updates on other members.
         """
         if member.name == self.me.name:
-            return self._hear_of_myself(member)
+            return self._refute(member)
         known = self._members.get(member.name)
         if known is not None and not member.supersedes(known):
             if known.supersedes(member):
-                # It may be the member itself that speaks, after a partition,
-                # and the news of its departure was told long ago. Unless it
-                # hears of it again, it cannot refute it, and stays out for good.
-                self._spread(member.name)
+                # The sender may be the member itself, after a partition. The update
+                # on its departure is no longer gossiped by then. Without receiving
+                # it again, the member cannot refute it and stays excluded for good.
+                self._schedule_sends(member.name)
             return False
         if known is None and member.state is MemberState.GONE:
             return False
         self._store(member, now)
         return True
 
-    def _hear_of_myself(self, member):
+    def _refute(self, member):
         if member.incarnation < self.me.incarnation:
             return False
         if member.state <= self.me.state and member.incarnation == self.me.incarnation:
             return False
         self.me = attrs.evolve(self.me, incarnation=member.incarnation + 1)
-        self._spread(self.me.name)
+        self._schedule_sends(self.me.name)
         return True
 
     def _store(self, member, now):
         before = self._members.get(member.name)
         self._members[member.name] = member
         self._changed_at[member.name] = now
-        self._spread(member.name)
+        self._schedule_sends(member.name)
         if self.on_change is not None:
             self.on_change(before, member)
 
-    def _spread(self, name):
-        self._news[name] = NEWS_FACTOR * math.ceil(math.log2(len(self._members) + 2))
+    def _schedule_sends(self, name):
+        self._sends_left[name] = GOSSIP_FACTOR * math.ceil(
+            math.log2(len(self._members) + 2)
+        )
 
     def leave(self) -> None:
-        """Announce that this daemon takes no new callers."""
+        """Announce that this daemon accepts no new callers."""
         self.me = attrs.evolve(self.me, state=MemberState.LEAVING)
-        self._spread(self.me.name)
+        self._schedule_sends(self.me.name)
 
     def suspect(self, name: str, now: float) -> None:
-        """Note that a call to a member failed."""
+        """Record that a call to a member failed."""
         known = self._members.get(name)
         if known is not None and known.state is MemberState.ALIVE:
             self._store(attrs.evolve(known, state=MemberState.SUSPECTED), now)
@@ -168,7 +172,7 @@
             self._store(attrs.evolve(known, state=MemberState.GONE), now)
 
     def apply_timeouts(self, now: float) -> None:
-        """Turn old suspicions into departures and drop what is long gone."""
+        """Mark suspected members as gone and forget gone ones after their timeouts."""
         for name, member in list(self._members.items()):
             age = now - self._changed_at[name]
             if member.state is MemberState.SUSPECTED and age >= self.times.suspicion:
@@ -176,15 +180,16 @@
             elif member.state is MemberState.GONE and age >= self.times.retention:
                 del self._members[name]
                 del self._changed_at[name]
-                self._news.pop(name, None)
+                self._sends_left.pop(name, None)
 
     def next_peers(self, count: int) -> list[Member]:
-        """Choose whom of the own zone to call in this round.
+        """Return the members of the own zone to call in this round.
 
         Notes
         -----
-        Each member comes once before any comes twice, in an order drawn anew
-        each time round, so that the longest time without a call is bounded.
+        Members are called in a random order that is shuffled again after each pass.
+        Each member is called once before any is called twice, so the longest time
+        without a call is bounded.
         """
         chosen = []
         callable_names = {
@@ -196,89 +201,91 @@
             chosen.append(self._next_name(callable_names, chosen))
         return [self._members[name] for name in chosen]
 
-    def _next_name(self, callable_names, taken):
+    def _next_name(self, callable_names, chosen):
         while True:
-            while self._round:
-                name = self._round.pop()
-                if name in callable_names and name not in taken:
+            while self._call_order:
+                name = self._call_order.pop()
+                if name in callable_names and name not in chosen:
                     return name
-            self._round = sorted(callable_names)
-            self.rng.shuffle(self._round)
+            self._call_order = sorted(callable_names)
+            self.rng.shuffle(self._call_order)
 
     def next_cross_zone_peer(self) -> Member | None:
-        """Choose whom of the other zones to call; None if nobody is known there."""
-        far = [
+        """Return a random member of another zone to call; None if none is known."""
+        candidates = [
             m
             for m in self._members.values()
             if m.zone != self.me.zone and m.state < MemberState.GONE
         ]
-        return self.rng.choice(far) if far else None
+        return self.rng.choice(candidates) if candidates else None
 
     def own_zone_names(self) -> list[str]:
         """List the names of the live members of the own zone, by rank.
 
-        What only some of a zone do is done by the first of them. Members that see
-        each other differ for as long as news travels: it is done by too many, or for a
-        moment by too few.
+        Work that only some members of a zone do is assigned to the first of them.
+        While an update spreads, members disagree on this list. In that time too many
+        members do the work, or briefly too few.
         """
         names = [m.name for m in self.live() if m.zone == self.me.zone]
         return lowest_ranked(RANK_KEY, names, len(names))
 
     def updates_for(self, zone: str) -> list[Member]:
-        """Give what one of a zone shall hear.
+        """Return the updates to send to a member of a zone.
 
-        To another zone the own representatives are told in full each time, dead ones
-        too as long as they are remembered, so that nothing needs to be kept of what
-        which zone was told. What is thought here of members of that zone is told as
-        news: one that is called gone here, and is not, hears of it in no other way.
+        A member of another zone receives all own representatives each time, including
+        gone ones while they are remembered, so that no record is needed of what each
+        zone has received. It also receives updates on members of its own zone that are
+        not considered alive here: a member that is wrongly considered gone has no other
+        way to receive that update and refute it.
         """
         if zone == self.me.zone:
-            return self.news()
-        doubted = [
+            return self.pending_updates()
+        not_alive = [
             name
-            for name in self._news
+            for name in self._sends_left
             if name != self.me.name
             and self._members[name].zone == zone
             and self._members[name].state is not MemberState.ALIVE
         ]
-        return [*self._representatives(), *self._tell(doubted)]
+        return [*self._representatives(), *self._next_updates(not_alive)]
 
     def _representatives(self):
-        lost = [
+        not_alive = [
             m.name
             for m in self._members.values()
             if m.zone == self.me.zone and m.state is not MemberState.ALIVE
         ]
-        # Those of lowest rank are the ones that the others have heard of.
-        lost = lowest_ranked(RANK_KEY, lost, REPRESENTATIVES)
+        # The members of lowest rank are those that other zones hold.
+        not_alive = lowest_ranked(RANK_KEY, not_alive, REPRESENTATIVES)
         return [
-            self.get(name) for name in self.own_zone_names()[:REPRESENTATIVES] + lost
+            self.get(name)
+            for name in self.own_zone_names()[:REPRESENTATIVES] + not_alive
         ]
 
-    def news(self) -> list[Member]:
-        """Give what has not yet travelled often enough, the freshest first."""
-        return self._tell(self._news)
+    def pending_updates(self) -> list[Member]:
+        """Return the updates that still have to be gossiped, the newest first."""
+        return self._next_updates(self._sends_left)
 
-    def _tell(self, names):
-        fresh = sorted(names, key=self._news.get, reverse=True)[:MAX_NEWS]
-        told = []
-        for name in fresh:
-            told.append(self.me if name == self.me.name else self._members[name])
-            self._news[name] -= 1
-            if self._news[name] <= 0:
-                del self._news[name]
-        return told
+    def _next_updates(self, names):
+        newest = sorted(names, key=self._sends_left.get, reverse=True)[:MAX_UPDATES]
+        updates = []
+        for name in newest:
+            updates.append(self.me if name == self.me.name else self._members[name])
+            self._sends_left[name] -= 1
+            if self._sends_left[name] <= 0:
+                del self._sends_left[name]
+        return updates
 
     def get(self, name: str) -> Member | None:
-        """Give a member by its name."""
+        """Return a member by its name."""
         return self.me if name == self.me.name else self._members.get(name)
 
     def others(self) -> list[Member]:
-        """List all other members, gone ones too."""
+        """List all other members, including gone ones."""
         return list(self._members.values())
 
     def live(self) -> list[Member]:
-        """List the members in use, this daemon among them, by name."""
+        """List the members that are alive, including this daemon, by name."""
         usable = [m for m in self._members.values() if m.state is MemberState.ALIVE]
         if self.me.state is MemberState.ALIVE:
             usable.append(self.me)
--- a/packages/coordination/src/cairnferry/coordination/_notes.py
+++ b/packages/coordination/src/cairnferry/coordination/_notes.py
@@ -1,7 +1,8 @@
-"""Notes that spread from member to member and lapse by themselves.
+"""Gossip of notes that expire by themselves.
 
-A note holds for a limited time and is renewed by whoever still observes the
-fact. So no withdrawal has to reach every member, and none can overtake a note.
+A note is valid for a limited time and is renewed by the members that still observe the
+fact. So notes are never withdrawn: no withdrawal has to reach every member, and none
+can overtake the note.
 """
 
 import math
@@ -9,13 +10,14 @@
 
 import attrs
 
+# Number of sends of a note, per doubling of the number of members.
 SPREAD_FACTOR = 2
-MAX_NOTES = 16
-# A renewal is worth passing on only if it extends the note by this many seconds.
+MAX_NOTES_PER_MESSAGE = 16
+# Minimum extension of a note in seconds; shorter renewals are not gossiped.
 MIN_EXTENSION_S = 0.5
-MAX_LIFE_S = 60.0
-# Several times the notes of an installation of which all targets leave at once.
-MAX_KEPT = 4096
+MAX_LIFETIME_S = 60.0
+# Several times the number of notes when all targets of an installation leave at once.
+MAX_KEPT_NOTES = 4096
 
 
 @attrs.frozen
@@ -25,12 +27,12 @@
     Attributes
     ----------
     subject : str
-        What it is about.
+        Subject of the fact, such as a target.
     source : str
-        How the fact is known.
+        How the fact was observed.
     remaining : float
-        Seconds for which it holds; clocks of machines differ, so that times
-        are not sent.
+        Seconds for which the note is valid. Times are not sent because the clocks of
+        machines differ.
     """
 
     subject: str
@@ -40,93 +42,95 @@
 
 @attrs.define
 class NoteRegistry:
-    """Notes that are in force, and how often each is still to be told.
+    """Valid notes and the number of times each is still to be sent.
 
     Parameters
     ----------
     on_note : callable
-        Called with subject, source and the local time to which the note holds,
-        whenever that is extended.
-    max_life : float
-        Longest time in seconds for which a note is believed.
+        Called with subject, source and the local time at which the note expires, for
+        each new note and each extension.
+    max_lifetime : float
+        Longest time in seconds for which a note is valid.
     max_kept : int
-        Notes kept; the oldest go first.
-    max_told : int
-        Notes in one message.
-    tell_s : float
-        Seconds for which a note is passed on at most. What is left of a flood would
-        else go round long after it has ended.
+        Maximum number of notes; the oldest are dropped first.
+    max_per_message : int
+        Maximum number of notes in one message.
+    spread_s : float
+        Longest time in seconds for which a note is gossiped. Without this limit the
+        backlog of a flood of notes would be gossiped long after the flood has ended.
     """
 
     on_note: Callable[[str, str, float], None]
-    max_life: float = MAX_LIFE_S
-    max_kept: int = MAX_KEPT
-    max_told: int = MAX_NOTES
-    tell_s: float = math.inf
-    _until: dict[tuple[str, str], float] = attrs.field(factory=dict)
-    _tell: dict[tuple[str, str], int] = attrs.field(factory=dict)
-    _tell_until: dict[tuple[str, str], float] = attrs.field(factory=dict)
+    max_lifetime: float = MAX_LIFETIME_S
+    max_kept: int = MAX_KEPT_NOTES
+    max_per_message: int = MAX_NOTES_PER_MESSAGE
+    spread_s: float = math.inf
+    _expires_at: dict[tuple[str, str], float] = attrs.field(factory=dict)
+    _sends_left: dict[tuple[str, str], int] = attrs.field(factory=dict)
+    _spread_until: dict[tuple[str, str], float] = attrs.field(factory=dict)
 
     def post(self, note: Note, now: float, members: int) -> bool:
-        """Take in a note; give back whether it told something new.
+        """Add or extend a note; return whether its fact was not in effect before.
 
         Parameters
         ----------
         note : Note
-            The note.
+            Note to add.
         now : float
             Local time in seconds.
         members : int
-            Number of members it has to reach.
+            Number of members that the note has to reach.
         """
         key = (note.subject, note.source)
-        until = now + min(note.remaining, self.max_life)
-        known = self._until.get(key, 0.0)
-        if until < known + MIN_EXTENSION_S or until <= now:
+        expires_at = now + min(note.remaining, self.max_lifetime)
+        earlier = self._expires_at.get(key, 0.0)
+        if expires_at < earlier + MIN_EXTENSION_S or expires_at <= now:
             return False
-        self._until[key] = until
+        self._expires_at[key] = expires_at
         self.spread_again(key, now, members)
-        while len(self._until) > self.max_kept:
-            oldest = next(iter(self._until))
-            del self._until[oldest]
-            self._drop_told(oldest)
-        self.on_note(note.subject, note.source, until)
-        return known <= now
+        while len(self._expires_at) > self.max_kept:
+            oldest = next(iter(self._expires_at))
+            del self._expires_at[oldest]
+            self._stop_spreading(oldest)
+        self.on_note(note.subject, note.source, expires_at)
+        return earlier <= now
 
     def spread_again(self, key: tuple[str, str], now: float, members: int) -> None:
-        """Spread a note once more, as there may be members that lack it."""
-        if key in self._until:
-            self._tell[key] = SPREAD_FACTOR * math.ceil(math.log2(members + 2))
-            self._tell_until[key] = now + self.tell_s
+        """Restart the gossip of a note that some members may not have received."""
+        if key in self._expires_at:
+            self._sends_left[key] = SPREAD_FACTOR * math.ceil(math.log2(members + 2))
+            self._spread_until[key] = now + self.spread_s
 
-    def _drop_told(self, key):
-        self._tell.pop(key, None)
-        self._tell_until.pop(key, None)
+    def _stop_spreading(self, key):
+        self._sends_left.pop(key, None)
+        self._spread_until.pop(key, None)
 
     def next_notes(self, now: float) -> tuple[Note, ...]:
-        """Give the notes for the next message."""
-        chosen = sorted(self._tell, key=self._tell.get, reverse=True)[: self.max_told]
-        told = []
+        """Return the notes for the next message."""
+        chosen = sorted(self._sends_left, key=self._sends_left.get, reverse=True)[
+            : self.max_per_message
+        ]
+        notes = []
         for key in chosen:
-            self._tell[key] -= 1
-            is_late = now > self._tell_until[key]
-            if self._tell[key] <= 0 or is_late:
-                self._drop_told(key)
-            remaining = self._until[key] - now
+            self._sends_left[key] -= 1
+            is_late = now > self._spread_until[key]
+            if self._sends_left[key] <= 0 or is_late:
+                self._stop_spreading(key)
+            remaining = self._expires_at[key] - now
             if remaining > 0 and not is_late:
-                told.append(Note(*key, remaining))
-        return tuple(told)
+                notes.append(Note(*key, remaining))
+        return tuple(notes)
 
     def is_in_effect(self, subject: str, source: str, now: float) -> bool:
-        """Tell whether a note is in force."""
-        return self._until.get((subject, source), now) > now
+        """Return whether a note is in effect."""
+        return self._expires_at.get((subject, source), now) > now
 
     def active_notes(self, now: float) -> list[Note]:
-        """List the notes that hold."""
-        return [Note(*key, t - now) for key, t in self._until.items() if t > now]
+        """List the notes that are in effect."""
+        return [Note(*key, t - now) for key, t in self._expires_at.items() if t > now]
 
     def drop_expired(self, now: float) -> None:
-        """Forget the notes that hold no more."""
-        self._until = {key: t for key, t in self._until.items() if t > now}
-        for key in [key for key in self._tell if key not in self._until]:
-            self._drop_told(key)
+        """Remove the notes that have expired."""
+        self._expires_at = {key: t for key, t in self._expires_at.items() if t > now}
+        for key in [key for key in self._sends_left if key not in self._expires_at]:
+            self._stop_spreading(key)
--- a/packages/coordination/src/cairnferry/coordination/_rendezvous.py
+++ b/packages/coordination/src/cairnferry/coordination/_rendezvous.py
@@ -1,26 +1,26 @@
-"""Rendezvous hashing: ranks that all compute alike from the same names."""
+"""Rendezvous hashing: all members compute the same ranks from the same names."""
 
 import functools
 import hashlib
 from collections.abc import Iterable
 
 HASH_BYTES = 8
-# Ranks that are kept: those of all members of a zone several times over.
-MAX_KEPT = 8192
+# Number of cached ranks: several times the number of members of a zone.
+MAX_CACHED_RANKS = 8192
 
 
-@functools.lru_cache(MAX_KEPT)
+@functools.lru_cache(MAX_CACHED_RANKS)
 def rank(key: str, name: str) -> int:
-    """Give the rank of a name for a key; lower goes first."""
+    """Return the rank of a name for a key; the lowest rank comes first."""
     digest = hashlib.blake2b(f"{key}\0{name}".encode(), digest_size=HASH_BYTES)
     return int.from_bytes(digest.digest(), "big")
 
 
 def lowest_ranked(key: str, names: Iterable[str], count: int) -> list[str]:
-    """Give the `count` names of lowest rank, in the order of their ranks.
+    """Return the `count` names of lowest rank, in the order of their ranks.
 
     Notes
     -----
-    When a name comes or goes, at most one of those chosen changes.
+    When a name is added or removed, at most one of the returned names changes.
     """
     return sorted(names, key=lambda name: rank(key, name))[:count]
--- a/packages/coordination/src/cairnferry/coordination/_table.py
+++ b/packages/coordination/src/cairnferry/coordination/_table.py
@@ -1,4 +1,4 @@
-"""What is needed of a table service, and how it may fail."""
+"""Interface of the table service and its errors."""
 
 import typing
 
@@ -8,12 +8,12 @@
 
 @attrs.frozen
 class ConditionFailed:
-    """The transaction was refused whole: nothing of it was written.
+    """The transaction was refused and nothing was written.
 
     Attributes
     ----------
     keys : tuple of str
-        Rows whose condition did not hold.
+        Rows whose condition was not met.
     """
 
     keys: tuple[str, ...]
@@ -21,17 +21,17 @@
 
 @attrs.frozen
 class WriteUnknown:
-    """The answer was lost: the transaction may have taken effect, or may yet."""
+    """The response was lost: the transaction may have taken effect, or still may."""
 
     reason: str
 
     def __str__(self):
-        return f"the table's answer was lost: {self.reason}"
+        return f"the response of the table service was lost: {self.reason}"
 
 
 @attrs.frozen
 class TableUnavailable:
-    """The table did not take the call, or a read gave no answer."""
+    """The table service refused the call, or a read got no response."""
 
     reason: str
 
@@ -68,9 +68,9 @@
     Attributes
     ----------
     item : Item
-        The row as it shall be.
+        The row to write.
     expected_version : int or None
-        Version that the row must have; None means that it must not exist.
+        Version that the row must have; None if the row must not exist.
     """
 
     item: Item
@@ -81,12 +81,12 @@
     """Table with conditional transactions over several rows."""
 
     def read(self, key: str) -> Result[Item | None, TableUnavailable]:
-        """Read one row, never a stale one."""
+        """Return one row by a consistent read, or None if it does not exist."""
 
     def read_range(
         self, prefix: str, first: int, last: int
     ) -> Result[list[Item], TableUnavailable]:
-        """Read the rows of a prefix whose number lies in a range, ends included."""
+        """Return the rows of a prefix with numbers `first` to `last`, inclusive."""
 
     def transact(self, writes: tuple[Write, ...]) -> Result[None, TableError]:
-        """Write all rows if each condition holds, else none."""
+        """Write all rows if every condition is met, otherwise none."""
--- a/packages/records/src/cairnferry/records/__init__.py
+++ b/packages/records/src/cairnferry/records/__init__.py
@@ -1,4 +1,4 @@
-"""Record kinds, their schema versions, validation and one internal form."""
+"""Kinds of records, their schema versions, validation and internal form."""
 
 from cairnferry.records._changes import Change, Edit, EditKind, Put, Withdraw
 from cairnferry.records._errors import (
--- a/packages/records/src/cairnferry/records/_changes.py
+++ b/packages/records/src/cairnferry/records/_changes.py
@@ -1,4 +1,4 @@
-"""Changes: what operators submit, as one atomic step."""
+"""Changes that operators submit, each an atomic list of edits."""
 
 import enum
 
@@ -9,11 +9,11 @@
 from cairnferry.records._model import Kind, RecordKey
 from cairnferry.records._schemas import NAME_REGEX
 
-MAX_CHANGE_ID = 64
+MAX_CHANGE_ID_LENGTH = 64
 
 
 class EditKind(enum.StrEnum):
-    """What an edit does to a record."""
+    """Kind of an edit."""
 
     SUBMIT = "submit"
     REPLACE = "replace"
@@ -22,7 +22,7 @@
 
 @attrs.frozen
 class Put:
-    """Write a record.
+    """Edit that writes a record.
 
     Attributes
     ----------
@@ -38,7 +38,7 @@
 
 @attrs.frozen
 class Withdraw:
-    """Remove the record `key`, which must be at `expected_revision`."""
+    """Edit that removes the record `key`, which must be at `expected_revision`."""
 
     key: RecordKey
     expected_revision: int
@@ -49,21 +49,21 @@
 
 @attrs.frozen
 class Change:
-    """Edits that come into force together or not at all.
+    """Edits that take effect together or not at all.
 
     Attributes
     ----------
     change_id : str
-        Chosen by the submitter; what became of it can be asked by it.
+        Identifier chosen by the submitter; used to query the outcome.
     edits : tuple of Edit
-        In the order given.
+        Edits in the order submitted.
     """
 
     change_id: str
     edits: tuple[Edit, ...]
 
     def to_json(self) -> dict:
-        """Give the form that is stored and sent."""
+        """Return the change in the form that is stored and sent."""
         return {
             "change_id": self.change_id,
             "edits": [_edit_to_json(edit) for edit in self.edits],
@@ -71,21 +71,23 @@
 
     @classmethod
     def from_json(cls, document: object) -> Result["Change", MalformedChange]:
-        """Read the stored form; record documents are left unparsed."""
+        """Parse the stored form of a change; record documents stay unparsed."""
         if not isinstance(document, dict):
             return Error(MalformedChange("(document)", "must be an object"))
         change_id = document.get("change_id")
         if not isinstance(change_id, str) or not _is_change_id(change_id):
-            expected = f"must be 1 to {MAX_CHANGE_ID} letters, digits, '.' or '-'"
+            expected = (
+                f"must be 1 to {MAX_CHANGE_ID_LENGTH} letters, digits, '.' or '-'"
+            )
             return Error(MalformedChange("change_id", expected))
         edits = document.get("edits")
         if not isinstance(edits, list) or not edits:
-            return Error(MalformedChange("edits", "must be a list of edits, not empty"))
+            return Error(MalformedChange("edits", "must be a non-empty list of edits"))
         return _parse_edits(change_id, edits)
 
 
 def _is_change_id(text):
-    return len(text) <= MAX_CHANGE_ID and bool(NAME_REGEX.match(text))
+    return len(text) <= MAX_CHANGE_ID_LENGTH and bool(NAME_REGEX.match(text))
 
 
 def _parse_edits(change_id, documents):
@@ -140,7 +142,7 @@
         expected = "must be one of " + ", ".join(Kind)
         return Error(MalformedChange(f"{path}.kind", expected))
     if not isinstance(document.get("name"), str):
-        return Error(MalformedChange(f"{path}.name", "must be text"))
+        return Error(MalformedChange(f"{path}.name", "must be a string"))
     key = RecordKey(Kind(document["kind"]), document["name"])
     return Ok(Withdraw(key, expected_revision))
 
--- a/packages/records/src/cairnferry/records/_defaults.py
+++ b/packages/records/src/cairnferry/records/_defaults.py
@@ -1,11 +1,11 @@
-"""Values of optional fields, the same in each schema version."""
+"""Default values of optional fields, shared by all schema versions."""
 
 RETRY_RATIO = 0.1
 QUEUE_LIMIT = 64
 HEALTH_PATH = "/health"
 REFUSAL_STATUS = 503
 
-# Methods that RFC 9110, section 9.2.2 calls idempotent.
+# Idempotent methods according to RFC 9110, section 9.2.2.
 IDEMPOTENT_METHODS = frozenset(
     ["GET", "HEAD", "OPTIONS", "TRACE", "PUT", "DELETE"],
 )
--- a/packages/records/src/cairnferry/records/_errors.py
+++ b/packages/records/src/cairnferry/records/_errors.py
@@ -1,4 +1,4 @@
-"""Failures of records and of changes to them."""
+"""Errors of records and of changes."""
 
 import attrs
 
@@ -7,16 +7,16 @@
 
 @attrs.frozen
 class MalformedRecord:
-    """A record does not follow its schema.
+    """A record does not conform to its schema.
 
     Attributes
     ----------
     record : str
-        Kind and name as far as they could be read.
+        Kind and name of the record, as far as they could be read.
     field : str
-        Path of the faulty field.
+        Path of the invalid field.
     expected : str
-        What the schema asks for there.
+        Requirement of the schema on the field.
     """
 
     record: str
@@ -29,7 +29,7 @@
 
 @attrs.frozen
 class UnknownSchemaVersion:
-    """A record carries a schema version that this release does not know."""
+    """A record has a schema version that this release does not support."""
 
     record: str
     version: str
@@ -41,7 +41,7 @@
 
 @attrs.frozen
 class MalformedChange:
-    """The envelope of a change is faulty, whatever its records."""
+    """The envelope of a change is invalid, regardless of its records."""
 
     field: str
     expected: str
@@ -52,7 +52,7 @@
 
 @attrs.frozen
 class RecordExists:
-    """A new record was submitted under a name that is in use."""
+    """A new record has a name that is already in use."""
 
     key: RecordKey
     revision: int
@@ -67,7 +67,7 @@
 
 @attrs.frozen
 class RevisionConflict:
-    """A record has moved on since the operator read it.
+    """A record has changed since the operator read it.
 
     Attributes
     ----------
@@ -76,7 +76,7 @@
     expected : int
         Revision that the operator had read.
     actual : int
-        Revision in force; 0 means that there is no such record.
+        Current revision; 0 if the record does not exist.
     """
 
     key: RecordKey
@@ -95,7 +95,7 @@
 
 @attrs.frozen
 class UnknownReference:
-    """A record names a service that would not exist after the change."""
+    """A record refers to a service that would not exist after the change."""
 
     key: RecordKey
     service: str
--- a/packages/records/src/cairnferry/records/_model.py
+++ b/packages/records/src/cairnferry/records/_model.py
@@ -1,4 +1,4 @@
-"""The internal form that every schema version is turned into."""
+"""Internal form of records, common to all schema versions."""
 
 import enum
 
@@ -15,16 +15,16 @@
 
 
 class Lifecycle(enum.StrEnum):
-    """Whether a target may be given new work."""
+    """Whether a target accepts new requests."""
 
     ACTIVE = "active"
     DRAINING = "draining"
 
 
 class Priority(enum.StrEnum):
-    """Class of the requests of a route.
+    """Priority class of the requests of a route.
 
-    Background requests take only the capacity that interactive ones leave.
+    Background requests use only the capacity that interactive requests leave free.
     """
 
     INTERACTIVE = "interactive"
@@ -44,14 +44,14 @@
 
 @attrs.frozen
 class RefusalContract:
-    """How a target says that it did not run a request.
+    """Response by which a target declares that it did not run a request.
 
-    Both have to be present in an answer; a status alone proves nothing.
+    A refusal must have both the status and the header; the status alone proves nothing.
 
     Attributes
     ----------
     status : int
-        HTTP status of the refusal.
+        HTTP status of a refusal.
     header : str
         Lower-case name of the header that a refusal carries.
     """
@@ -62,30 +62,31 @@
 
 @attrs.frozen
 class Service:
-    """Targets that serve the same requests, and what is common to them.
+    """Targets that serve the same requests, and their common settings.
 
     Attributes
     ----------
     name : str
         Name of the service.
     deadline_ms : int
-        Default time for a request, from its arrival, in milliseconds.
+        Default deadline of a request in milliseconds from its arrival.
     retry_ratio : float
-        Retries and hedges as a share of first attempts, 0 to 1.
+        Maximum ratio of retries and hedges to first attempts, 0 to 1.
     hedging : bool
-        Whether idempotent requests may be sent a second time early.
+        Whether an idempotent request may be hedged.
     queue_limit : int
-        Requests that may wait for a target at one entry instance.
+        Maximum number of requests that wait for a target at one entry instance.
     retry_slack : float
-        Retries and hedges in one window beyond that share, over all instances.
+        Number of retries and hedges in one window that all entry instances together may
+        send beyond that ratio.
     retry_window_s : float or None
-        Length of the sliding window in seconds in which they are counted; None
-        counts them against what was earned and not yet spent.
+        Length of the sliding window in seconds over which retries and hedges are
+        counted; None uses a budget that first attempts earn and retries spend.
     health_path : str or None
-        Path of the targets' health endpoint, where their own records do not tell.
+        Path of the targets' health endpoint if their own records do not define it.
     warmup_per_s : float
-        Requests a second that a cold target takes from all entry instances; 0 if there
-        is no such limit.
+        Requests per second that a cold target accepts from all entry instances
+        together; 0 if there is no such limit.
     """
 
     name: str
@@ -111,25 +112,25 @@
     Attributes
     ----------
     name, service, zone : str
-        Names of the target, of its service and of its availability zone.
+        Names of the target, its service and its availability zone.
     host : str
         IP address.
     port : int
         TCP port.
     slots : int
-        Requests that the target runs at the same time.
+        Number of requests that the target runs concurrently.
     lifecycle : Lifecycle
-        Whether new work may go there.
+        Whether the target accepts new requests.
     health_path : str
         Path of the health endpoint.
     refusal : RefusalContract or None
-        How the target says that it did not run a request.
+        Response by which the target declares that it did not run a request.
     warmup_s : float
-        Seconds for which the target is still slow after its start, from the time
-        at which the record was made.
+        Remaining warm-up time of the target in seconds, from the time at which the
+        record was created.
     started_ms : int
-        Time of the target's start in milliseconds since 1970; 0 if its platform does
-        not tell it, as each start has a name of its own there.
+        Start time of the target in milliseconds since 1970; 0 if the platform does not
+        report it because each start has a name of its own.
     """
 
     name: str
@@ -151,11 +152,11 @@
 
     @property
     def identity(self) -> str:
-        """Name of this start of the target.
+        """Name that is unique for this start of the target.
 
-        A target that starts again under its name knows nothing of before. What is
-        believed of it is kept by this name, so that what comes late from the earlier
-        start, such as the word that it is leaving, does not hit the later one.
+        A target that restarts under its name has lost its state. All observations of a
+        target are stored under this identity, so that a late message from an earlier
+        start, such as a notice that the target is leaving, does not affect the new one.
         """
         return f"{self.name}@{self.started_ms}" if self.started_ms else self.name
 
@@ -167,14 +168,14 @@
 
 @attrs.frozen
 class Backend:
-    """A service that gets a part of a route's requests.
+    """Service that receives a share of a route's requests.
 
     Attributes
     ----------
     service : str
         Name of the service.
     weight : float
-        Its part, in proportion to the weights of the others.
+        Share of the requests, relative to the weights of the other services.
     """
 
     service: str
@@ -190,29 +191,30 @@
     name : str
         Name of the route.
     path_prefix : str
-        Longest matching prefix wins.
+        Path prefix of the requests; the longest matching prefix is used.
     service : str
-        Service that answers.
+        Service that receives the requests.
     idempotent_methods : frozenset of str
         Methods that may be sent more than once.
     deadline_ms : int or None
-        Time for a request in milliseconds; None takes the service's.
+        Deadline of a request in milliseconds; None uses that of the service.
     priority : Priority
-        Class of the requests.
+        Priority class of the requests.
     host : str or None
-        Host that the request must name, in lower case; None takes any.
+        Host of the requests, in lower case; None matches any host.
     idempotent : bool or None
-        Whether its requests may be sent more than once; None goes by the method.
+        Whether the requests may be sent more than once; None decides by the method.
     backends : tuple of Backend
-        Services that share the requests by weight; empty sends all to `service`.
+        Services that share the requests by weight; if empty, `service` receives all.
     max_attempts : int or None
-        Most targets that one request may be sent to; None leaves it to the policy.
+        Maximum number of targets that one request is sent to; None leaves the choice
+        to the policy.
     objective_ms : int or None
-        Time within which an answer is of full use, in milliseconds.
+        Latency objective in milliseconds: a later response is of less value.
     rank : int
-        Order among requests that wait for the same service; 0 goes first.
-    limit_ms : int or None
-        Longest time for a request in milliseconds, whatever its caller gives it.
+        Rank among requests that wait for the same service; 0 is served first.
+    max_deadline_ms : int or None
+        Maximum deadline of a request in milliseconds, even if its caller allows more.
     """
 
     name: str
@@ -230,11 +232,11 @@
     max_deadline_ms: int | None = None
 
     def service_names(self) -> list[str]:
-        """List the services that may get its requests."""
+        """List the services that may receive the requests."""
         return [backend.service for backend in self.backends] or [self.service]
 
     def may_resend(self, method: str) -> bool:
-        """Tell whether a request with this method may be sent more than once."""
+        """Return whether a request with this method may be sent more than once."""
         if self.idempotent is not None:
             return self.idempotent
         return method in self.idempotent_methods
@@ -247,14 +249,14 @@
 
 @attrs.frozen
 class Zone:
-    """What operators say of an availability zone.
+    """Settings of an availability zone by operators.
 
     Attributes
     ----------
     name : str
-        Name of the zone, as targets and instances have it.
+        Name of the zone, as in the records of targets and instances.
     evacuated : bool
-        Whether its targets are to be sent nothing.
+        Whether the targets of the zone receive no requests.
     """
 
     name: str
--- a/packages/records/src/cairnferry/records/_parse.py
+++ b/packages/records/src/cairnferry/records/_parse.py
@@ -1,4 +1,4 @@
-"""From a JSON document in any known schema version to the internal form."""
+"""Parsing of record documents in any supported schema version."""
 
 import ipaddress
 
@@ -20,17 +20,17 @@
 def parse_record(
     document: object,
 ) -> Result[Record, MalformedRecord | UnknownSchemaVersion]:
-    """Validate a document and turn it into the internal form.
+    """Validate a document and convert it to the internal form.
 
     Parameters
     ----------
     document : object
-        What a JSON decoder gave; anything is allowed.
+        Output of a JSON decoder, of any type.
 
     Returns
     -------
     Result
-        The record, or the first fault found in it.
+        The record, or the first error found.
     """
     if not isinstance(document, dict):
         return Error(MalformedRecord("record", "(document)", "must be an object"))
@@ -59,7 +59,7 @@
 
 
 def _malformed(label, exc):
-    """Name the field: the validator's own path starts with a placeholder."""
+    """Convert an error of the validator, whose path starts with a placeholder."""
     path = [str(part) for part in exc.path[1:]]
     match exc.rule:
         case "required":
@@ -78,8 +78,8 @@
 
 
 def _check_address(label, target):
-    # A pattern lets 999.1.1.1 through. Such a target would fail at each request
-    # instead of once, at submission.
+    # The pattern accepts 999.1.1.1. Such a target would fail at each request instead of
+    # once at its submission.
     try:
         ipaddress.IPv4Address(target.host)
     except ipaddress.AddressValueError:
@@ -90,7 +90,7 @@
 
 
 def _label(document):
-    """Kind and name as far as they can be read, for messages."""
+    """Return kind and name as far as they can be read, for error messages."""
     metadata = document.get("metadata")
     name = document.get("name")
     if isinstance(metadata, dict):
--- a/packages/records/src/cairnferry/records/_recordset.py
+++ b/packages/records/src/cairnferry/records/_recordset.py
@@ -1,4 +1,4 @@
-"""The records in force at one revision."""
+"""Set of all records at one revision."""
 
 import json
 import zlib
@@ -17,22 +17,22 @@
 from cairnferry.records._model import Kind, Record, RecordKey
 from cairnferry.records._parse import parse_record
 
-# Kinds whose records name no service.
-_STAND_ALONE = (Kind.SERVICE, Kind.ZONE)
+# Kinds whose records do not refer to a service.
+_KINDS_WITHOUT_SERVICE = (Kind.SERVICE, Kind.ZONE)
 
 
 @attrs.frozen
 class Entry:
-    """One record in force.
+    """One record of a set.
 
     Attributes
     ----------
     revision : int
-        Revision that wrote it.
+        Revision that wrote the record.
     document : dict
-        As submitted.
+        Record as submitted.
     record : Record
-        Internal form.
+        Internal form of the record.
     """
 
     revision: int
@@ -42,14 +42,14 @@
 
 @attrs.frozen
 class RecordSet:
-    """Immutable set of the records in force.
+    """Immutable set of the records at one revision.
 
     Attributes
     ----------
     revision : int
         Revision of the last change applied; 0 before the first.
     entries : dict of RecordKey to Entry
-        Never changed in place.
+        Records by key; never changed in place.
     """
 
     revision: int = 0
@@ -58,22 +58,22 @@
     def apply(
         self, revision: int, changes: tuple[Change, ...]
     ) -> Result["RecordSet", RecordError]:
-        """Apply all changes of one revision, or none.
+        """Apply all changes of one revision or none.
 
         Parameters
         ----------
         revision : int
-            Must be the successor of this set's revision.
+            Revision of the changes; must directly follow that of this set.
         changes : tuple of Change
-            Applied in order; a later one sees what an earlier one wrote.
+            Changes in order; each one sees the results of the previous ones.
 
         Returns
         -------
         Result
-            The new set, or the first fault.
+            The new set, or the first error.
         """
         if revision != self.revision + 1:
-            expected = f"must be {self.revision + 1}, the next one"
+            expected = f"must be the next revision, {self.revision + 1}"
             return Error(MalformedChange("revision", expected))
         draft = self.draft()
         for change in changes:
@@ -83,18 +83,18 @@
         return Ok(RecordSet(revision, draft.entries))
 
     def draft(self) -> "Draft":
-        """Start the next revision, to try changes on."""
+        """Return a draft of the next revision, on which changes can be tried."""
         return Draft(self.revision + 1, self.entries)
 
     def to_snapshot(self) -> bytes:
-        """Encode the whole set: JSON, compressed by zlib."""
+        """Return the set as JSON, compressed by zlib."""
         entries = [[e.revision, e.document] for e in self.entries.values()]
         document = {"revision": self.revision, "entries": entries}
         return zlib.compress(json.dumps(document, separators=(",", ":")).encode())
 
     @classmethod
     def from_snapshot(cls, data: bytes) -> Result["RecordSet", RecordError]:
-        """Decode what `to_snapshot` gave."""
+        """Return the set that `to_snapshot` encoded."""
         try:
             document = json.loads(zlib.decompress(data))
             revision = document["revision"]
@@ -110,7 +110,7 @@
         return Ok(cls(revision, entries))
 
     def of_kind(self, kind: Kind) -> list[Record]:
-        """List the records of one kind in the order of their names."""
+        """List the records of one kind, sorted by name."""
         found = [
             entry.record for key, entry in self.entries.items() if key.kind == kind
         ]
@@ -119,21 +119,21 @@
 
 @attrs.define
 class Draft:
-    """A revision that is being put together.
+    """Revision under construction.
 
     Attributes
     ----------
     revision : int
-        Its number.
+        Number of the revision.
     entries : dict of RecordKey to Entry
-        What it holds so far; never changed in place.
+        Records by key after the changes added so far; never changed in place.
     """
 
     revision: int
     entries: dict[RecordKey, Entry]
 
     def add(self, change: Change) -> Result[None, RecordError]:
-        """Add a change, whole or, if it does not hold, not at all."""
+        """Add a change; an invalid change leaves the draft unchanged."""
         entries = dict(self.entries)
         fault = _apply_change(entries, self.revision, change)
         if fault is not None:
@@ -143,35 +143,35 @@
 
 
 def _apply_change(entries, revision, change):
-    """Write a change into `entries`; give back the first fault or None."""
-    touched = set()
+    """Apply a change to `entries` in place; return the first error or None."""
+    edited = set()
     for edit in change.edits:
-        fault = _apply_edit(entries, revision, edit, touched)
+        fault = _apply_edit(entries, revision, edit, edited)
         if fault is not None:
             return fault
-    return _check_references(entries, touched)
+    return _check_references(entries, edited)
 
 
-def _apply_edit(entries, revision, edit, touched):
+def _apply_edit(entries, revision, edit, edited):
     match edit:
         case Put(document, expected):
             parsed = parse_record(document)
             if parsed.is_error():
                 return parsed.error
             key = parsed.ok.key
-            written = Entry(revision, document, parsed.ok)
+            new_entry = Entry(revision, document, parsed.ok)
         case Withdraw(key, expected):
-            written = None
-    if key in touched:
+            new_entry = None
+    if key in edited:
         return MalformedChange("edits", f"{key} is edited twice")
-    touched.add(key)
+    edited.add(key)
     fault = _check_revision(entries, key, expected)
     if fault is not None:
         return fault
-    if written is None:
+    if new_entry is None:
         del entries[key]
     else:
-        entries[key] = written
+        entries[key] = new_entry
     return None
 
 
@@ -185,15 +185,15 @@
     return RevisionConflict(key, expected, actual)
 
 
-def _check_references(entries, touched):
-    """Find a record that names a service which does not exist."""
+def _check_references(entries, edited):
+    """Return an error for the first record whose service does not exist, or None."""
     withdrawn = {
-        key.name for key in touched if key.kind is Kind.SERVICE and key not in entries
+        key.name for key in edited if key.kind is Kind.SERVICE and key not in entries
     }
-    suspects = entries if withdrawn else touched
-    for key in suspects:
+    to_check = entries if withdrawn else edited
+    for key in to_check:
         entry = entries.get(key)
-        if entry is None or key.kind in _STAND_ALONE:
+        if entry is None or key.kind in _KINDS_WITHOUT_SERVICE:
             continue
         service = entry.record.service
         if RecordKey(Kind.SERVICE, service) not in entries:
--- a/packages/records/src/cairnferry/records/_schemas.py
+++ b/packages/records/src/cairnferry/records/_schemas.py
@@ -1,8 +1,8 @@
 """JSON Schema (draft 7) of each record kind in each schema version.
 
-Version 1 is flat, counts in seconds and percent and writes lists and addresses
-as text. Version 2 is nested, counts in milliseconds and shares of one and names
-its parts. Both are in force side by side.
+Version 1 is flat, uses seconds and percent, and encodes lists and addresses as strings.
+Version 2 is nested, uses milliseconds and ratios, and has a field for each part. Both
+versions are supported at the same time.
 """
 
 import functools
@@ -20,20 +20,20 @@
 METHOD_PATTERN = r"^[A-Z]{1,16}\Z"
 MAX_SLOTS = 10_000
 MAX_DEADLINE_MS = 600_000
-MAX_QUEUE = 100_000
+MAX_QUEUE_LIMIT = 100_000
 
 
-def _text(pattern, description):
-    """Make the schema of a text; the description is what a fault in it says."""
+def _string_schema(pattern, description):
+    """Return the schema of a string; the description is its error message."""
     return {"type": "string", "pattern": pattern, "description": description}
 
 
-_NAME = _text(NAME_PATTERN, "must be a name of a-z, 0-9, '.' and '-'")
-_PATH = _text(PATH_PATTERN, "must be a path that begins with '/'")
-_HEADER = _text(HEADER_PATTERN, "must be the name of a header")
+_NAME = _string_schema(NAME_PATTERN, "must be a name of a-z, 0-9, '.' and '-'")
+_PATH = _string_schema(PATH_PATTERN, "must be a path that begins with '/'")
+_HEADER = _string_schema(HEADER_PATTERN, "must be the name of a header")
 _STATUS = {"type": "integer", "minimum": 400, "maximum": 599}
 _SLOTS = {"type": "integer", "minimum": 1, "maximum": MAX_SLOTS}
-_QUEUE = {"type": "integer", "minimum": 0, "maximum": MAX_QUEUE}
+_QUEUE_LIMIT = {"type": "integer", "minimum": 0, "maximum": MAX_QUEUE_LIMIT}
 _SECONDS = {
     "type": "number",
     "minimum": 0.001,
@@ -42,8 +42,8 @@
 _MILLISECONDS = {"type": "integer", "minimum": 1, "maximum": MAX_DEADLINE_MS}
 
 
-def _closed(properties, optional=()):
-    """Object schema that allows no other property."""
+def _object_schema(properties, optional=()):
+    """Return the schema of an object without additional properties."""
     required = [name for name in properties if name not in optional]
     return {
         "type": "object",
@@ -54,17 +54,17 @@
 
 
 def _version_1(kind, properties, optional):
-    head = {"schema": {"const": 1}, "kind": {"const": str(kind)}, "name": _NAME}
-    return _closed({**head, **properties}, optional)
+    common = {"schema": {"const": 1}, "kind": {"const": str(kind)}, "name": _NAME}
+    return _object_schema({**common, **properties}, optional)
 
 
 def _version_2(kind, spec, optional):
-    return _closed(
+    return _object_schema(
         {
             "schema": {"const": 2},
             "kind": {"const": str(kind)},
-            "metadata": _closed({"name": _NAME}),
-            "spec": _closed(spec, optional),
+            "metadata": _object_schema({"name": _NAME}),
+            "spec": _object_schema(spec, optional),
         }
     )
 
@@ -76,7 +76,7 @@
             "timeout_s": _SECONDS,
             "retry_percent": {"type": "number", "minimum": 0, "maximum": 100},
             "hedge": {"enum": ["yes", "no"]},
-            "queue": _QUEUE,
+            "queue": _QUEUE_LIMIT,
         },
         optional=("retry_percent", "hedge", "queue"),
     ),
@@ -85,7 +85,7 @@
         {
             "service": _NAME,
             "zone": _NAME,
-            "address": _text(
+            "address": _string_schema(
                 r"^[0-9]{1,3}(\.[0-9]{1,3}){3}:[0-9]{1,5}\Z",
                 "must be an IPv4 address and a port",
             ),
@@ -102,7 +102,7 @@
         {
             "service": _NAME,
             "path": _PATH,
-            "safe_methods": _text(
+            "safe_methods": _string_schema(
                 r"^([A-Z]{1,16}(,[A-Z]{1,16})*)?\Z",
                 "must be methods, separated by commas",
             ),
@@ -122,8 +122,8 @@
         {
             "deadlineMillis": _MILLISECONDS,
             "retryBudget": {"type": "number", "minimum": 0, "maximum": 1},
-            "hedging": _closed({"enabled": {"type": "boolean"}}),
-            "queueLimit": _QUEUE,
+            "hedging": _object_schema({"enabled": {"type": "boolean"}}),
+            "queueLimit": _QUEUE_LIMIT,
         },
         optional=("retryBudget", "hedging", "queueLimit"),
     ),
@@ -132,16 +132,16 @@
         {
             "service": _NAME,
             "zone": _NAME,
-            "endpoint": _closed(
+            "endpoint": _object_schema(
                 {
-                    "host": _text(IPV4_PATTERN, "must be an IPv4 address"),
+                    "host": _string_schema(IPV4_PATTERN, "must be an IPv4 address"),
                     "port": {"type": "integer", "minimum": 1, "maximum": 65535},
                 }
             ),
             "slots": _SLOTS,
             "lifecycle": {"enum": ["active", "draining"]},
-            "health": _closed({"path": _PATH}),
-            "refusal": _closed({"status": _STATUS, "header": _HEADER}),
+            "health": _object_schema({"path": _PATH}),
+            "refusal": _object_schema({"status": _STATUS, "header": _HEADER}),
         },
         optional=("lifecycle", "health", "refusal"),
     ),
@@ -149,10 +149,12 @@
         Kind.ROUTE,
         {
             "service": _NAME,
-            "match": _closed({"pathPrefix": _PATH}),
+            "match": _object_schema({"pathPrefix": _PATH}),
             "idempotentMethods": {
                 "type": "array",
-                "items": _text(METHOD_PATTERN, "must be a method in capital letters"),
+                "items": _string_schema(
+                    METHOD_PATTERN, "must be a method in capital letters"
+                ),
                 "uniqueItems": True,
             },
             "deadlineMillis": _MILLISECONDS,
@@ -165,11 +167,11 @@
 
 @functools.cache
 def validator(version: int, kind: Kind) -> Callable[[object], object]:
-    """Give the function that checks a document of a schema version and kind.
+    """Return the validator of documents of a schema version and kind.
 
-    They are made when they are first needed: making all of them is a good part of a
-    start, in which an instance that lost power serves nobody, and a daemon whose
-    platform has its own format needs none.
+    Validators are compiled at first use. Compiling all of them takes a considerable
+    part of the start, during which an instance that lost power serves no requests. A
+    daemon on a platform with its own format needs none of them.
     """
     return fastjsonschema.compile(_SCHEMAS[version, kind], use_default=False)
 
--- a/packages/records/src/cairnferry/records/_version1.py
+++ b/packages/records/src/cairnferry/records/_version1.py
@@ -1,4 +1,4 @@
-"""Schema version 1: flat, seconds, percent, lists and addresses as text."""
+"""Schema version 1: flat, seconds, percent, lists and addresses as strings."""
 
 from cairnferry.records import _defaults as defaults
 from cairnferry.records._model import (
--- a/packages/records/src/cairnferry/records/_version2.py
+++ b/packages/records/src/cairnferry/records/_version2.py
@@ -1,4 +1,4 @@
-"""Schema version 2: nested, milliseconds, shares of one, named parts."""
+"""Schema version 2: nested, milliseconds, ratios, a field for each part."""
 
 from cairnferry.records import _defaults as defaults
 from cairnferry.records._model import (
--- a/packages/settings/src/cairnferry/settings/__init__.py
+++ b/packages/settings/src/cairnferry/settings/__init__.py
@@ -1,4 +1,4 @@
-"""INI settings, checked against a table of keys, all faults told at once."""
+"""INI settings, validated against a table of keys; all errors are reported at once."""
 
 from cairnferry.settings._faults import SettingFault
 from cairnferry.settings._keys import Address, Key, ValueType, parse_address
--- a/packages/settings/src/cairnferry/settings/_faults.py
+++ b/packages/settings/src/cairnferry/settings/_faults.py
@@ -1,20 +1,20 @@
-"""Faults of settings."""
+"""Errors in settings."""
 
 import attrs
 
 
 @attrs.frozen
 class SettingFault:
-    """One wrong line of the settings.
+    """One invalid entry of the settings.
 
     Attributes
     ----------
     source : str
-        File, or "options" for the command line.
+        Path of the file, or "options" for the command line.
     section, key : str
-        Where it stands; either may be "-" if the fault is wider.
+        Section and key of the entry; "-" if the error concerns more than one key.
     expected : str
-        What was expected there.
+        Description of the error, usually the value that was expected.
     """
 
     source: str
--- a/packages/settings/src/cairnferry/settings/_keys.py
+++ b/packages/settings/src/cairnferry/settings/_keys.py
@@ -1,4 +1,4 @@
-"""Keys of settings and the sorts of their values."""
+"""Keys of settings and the types of their values."""
 
 import enum
 import ipaddress
@@ -12,7 +12,7 @@
 
 
 class ValueType(enum.StrEnum):
-    """Sort of a value."""
+    """Type of a value."""
 
     NAME = "name"
     ADDRESS = "address"
@@ -34,7 +34,7 @@
         return f"{self.host}:{self.port}"
 
     def as_tuple(self) -> tuple[str, int]:
-        """Give the form that sockets take."""
+        """Return the address as (host, port), as sockets use it."""
         return (self.host, self.port)
 
 
@@ -45,26 +45,26 @@
     Attributes
     ----------
     section, name : str
-        Where it stands in the file.
-    sort : ValueType
-        Sort of its value.
+        Section and name of the key in the file.
+    value_type : ValueType
+        Type of the value.
     help : str
-        One line for the table of keys.
+        Description of the key in one line, for the table of keys.
     default : object
-        None makes the key required, unless it is optional.
+        Default value; None makes the key required unless it is optional.
     unit : str
-        Unit of the value, "-" without one.
+        Unit of the value; "-" if it has none.
     minimum, maximum : float or None
-        Range of a number, ends included.
+        Limits of a number, inclusive; None for no limit.
     optional : bool
-        Whether the key may be left out without a default.
+        Whether the key may be omitted although it has no default.
     choices : tuple of str
-        Values allowed for a name; empty allows all.
+        Allowed values of a name; empty allows all.
     """
 
     section: str
     name: str
-    sort: ValueType
+    value_type: ValueType
     help: str
     default: object = None
     unit: str = "-"
@@ -75,28 +75,28 @@
 
     @property
     def required(self) -> bool:
-        """Whether the settings must give it."""
+        """Whether the settings must contain the key."""
         return self.default is None and not self.optional
 
     @property
     def expected(self) -> str:
-        """What a value must be, in words."""
+        """Description of the expected value, for error messages."""
         if self.choices:
             return "expected one of " + ", ".join(self.choices)
-        text = f"expected {_SORT_WORDS[self.sort]}"
+        text = f"expected {_TYPE_DESCRIPTIONS[self.value_type]}"
         if self.minimum is not None or self.maximum is not None:
             text += f" from {self.minimum} to {self.maximum}"
         return text if self.unit == "-" else f"{text} ({self.unit})"
 
     def parse(self, text: str) -> object:
-        """Turn the text of a value into the value.
+        """Parse the text of a value.
 
         Raises
         ------
         ValueError
-            If it is not of the key's sort or range.
+            If the value does not have the type of the key or is out of range.
         """
-        value = _PARSERS[self.sort](text)
+        value = _PARSERS[self.value_type](text)
         if self.choices and value not in self.choices:
             raise ValueError(text)
         if self.minimum is not None and value < self.minimum:
@@ -107,12 +107,12 @@
 
 
 def parse_address(text: str) -> Address:
-    """Read "IP:port".
+    """Parse an address of the form "IP:port".
 
     Raises
     ------
     ValueError
-        If it is not an IPv4 address and a port.
+        If the text is not an IPv4 address and a port.
     """
     host, separator, port = text.rpartition(":")
     if not separator or not port.isdecimal():
@@ -144,7 +144,7 @@
 
 def _parse_number(text):
     value = float(text)
-    # "nan" passes each comparison with a range, and would end in a timer.
+    # "nan" passes every range check and would be passed to a timer.
     if value != value:
         raise ValueError(text)
     return value
@@ -166,7 +166,7 @@
     ValueType.PATH: _parse_path,
 }
 
-_SORT_WORDS = {
+_TYPE_DESCRIPTIONS = {
     ValueType.NAME: "a name of lower-case letters, digits, '.' and '-'",
     ValueType.ADDRESS: "IP:port",
     ValueType.ADDRESSES: "a list of IP:port, separated by commas",
--- a/packages/settings/src/cairnferry/settings/_reader.py
+++ b/packages/settings/src/cairnferry/settings/_reader.py
@@ -1,4 +1,4 @@
-"""Reading of an INI file against a table of keys."""
+"""Reading and validation of an INI file against a table of keys."""
 
 import configparser
 
@@ -13,46 +13,46 @@
 
 @attrs.frozen
 class Settings:
-    """Checked values by section and key."""
+    """Validated values by section and key."""
 
     _values: dict[tuple[str, str], object]
 
     def get(self, section: str, name: str) -> object:
-        """Give the value of a key, its default if it was left out."""
+        """Return the value of a key, or its default if the settings omit the key."""
         return self._values[section, name]
 
 
 def read_settings(
     keys: tuple[Key, ...], path: str | None, overrides: dict[str, str]
 ) -> Result[Settings, list[SettingFault]]:
-    """Read and check settings.
+    """Read and validate settings.
 
     Parameters
     ----------
     keys : tuple of Key
-        Every key that may stand in the file.
+        All keys that the file may contain.
     path : str or None
-        INI file; None takes options and defaults alone.
+        Path of the INI file; None uses only overrides and defaults.
     overrides : dict of str to str
-        Values by "section.key", which go before the file.
+        Values by "section.key"; they take precedence over the file.
 
     Returns
     -------
     Result
-        The settings, or every fault that was found.
+        The settings, or all errors found.
     """
     faults = []
-    texts = _read_file(path, faults) if path else {}
+    entries = _read_file(path, faults) if path else {}
     for dotted, text in overrides.items():
         section, _, name = dotted.partition(".")
-        texts[section, name] = (OPTIONS, text)
+        entries[section, name] = (OPTIONS, text)
     known = {(key.section, key.name): key for key in keys}
-    for (section, name), (source, _text) in texts.items():
+    for (section, name), (source, _text) in entries.items():
         if (section, name) not in known:
             faults.append(SettingFault(source, section, name, "no such key"))
     values = {}
     for key in keys:
-        values[key.section, key.name] = _value(key, texts, path, faults)
+        values[key.section, key.name] = _parse_value(key, entries, path, faults)
     return Error(faults) if faults else Ok(Settings(values))
 
 
@@ -73,9 +73,9 @@
     }
 
 
-def _value(key, texts, path, faults):
-    found = texts.get((key.section, key.name))
-    if found is None:
+def _parse_value(key, entries, path, faults):
+    entry = entries.get((key.section, key.name))
+    if entry is None:
         if key.required:
             source = path or OPTIONS
             fault = SettingFault(
@@ -83,7 +83,7 @@
             )
             faults.append(fault)
         return key.default
-    source, text = found
+    source, text = entry
     try:
         return key.parse(text.strip())
     except ValueError:
@@ -93,20 +93,28 @@
 
 
 def format_key_table(keys: tuple[Key, ...]) -> str:
-    """Give the table of keys in Markdown, for the pages and `--help`."""
+    """Return the table of keys in Markdown, for the documentation and `--help`."""
     lines = [
         "| section | key | value | unit | default | range | meaning |",
         "| --- | --- | --- | --- | --- | --- | --- |",
     ]
     for key in keys:
-        default = "required" if key.required else _shown_default(key)
+        default = "required" if key.required else _format_default(key)
         limits = "-" if key.minimum is None else f"{key.minimum} to {key.maximum}"
-        cells = [key.section, key.name, key.sort, key.unit, default, limits, key.help]
+        cells = [
+            key.section,
+            key.name,
+            key.value_type,
+            key.unit,
+            default,
+            limits,
+            key.help,
+        ]
         lines.append("| " + " | ".join(cells) + " |")
     return "\n".join(lines)
 
 
-def _shown_default(key):
+def _format_default(key):
     if key.default is None or key.default == ():
         return "none"
     if isinstance(key.default, bool):
--- a/packages/wire/src/cairnferry/wire/__init__.py
+++ b/packages/wire/src/cairnferry/wire/__init__.py
@@ -1,9 +1,10 @@
-"""One HTTP/1.1 exchange a call, with the evidence of how far it got.
+"""HTTP/1.1 exchanges that report how far a failed request got.
 
-No call is ever sent a second time here: what may follow a failure is decided by
-the caller, who knows whether the request is idempotent.
+This package never sends a request a second time. The calling code decides on retries,
+as it knows whether the request is idempotent.
 """
 
+from cairnferry.wire._client import Client
 from cairnferry.wire._connection import ConnectFailed, Connection, connect
 from cairnferry.wire._exchange import (
     BODILESS_STATUSES,
@@ -19,7 +20,6 @@
 )
 from cairnferry.wire._pool import ConnectionPool
 from cairnferry.wire._request import HeaderInvalid, encode_request
-from cairnferry.wire._simple import Client
 from cairnferry.wire._sockets import is_quiet, set_no_delay
 
 __all__ = [
--- a/packages/wire/src/cairnferry/wire/_simple.py
+++ b/packages/wire/src/cairnferry/wire/_client.py
@@ -1,4 +1,4 @@
-"""Client for calls that need no policy: the platform, operators, test tools."""
+"""HTTP client without load balancing, for the platform, operators and test tools."""
 
 import time
 
@@ -8,14 +8,14 @@
 from cairnferry.wire._exchange import Failure, NotSent, Outcome, Reply, exchange
 from cairnferry.wire._pool import ConnectionPool
 from cairnferry.wire._request import encode_request
-from cairnferry.wire._sockets import watch_liveness
+from cairnferry.wire._sockets import enable_keepalive
 
-DEFAULT_MAX_BODY = 64 * 1024 * 1024
+DEFAULT_MAX_BODY_BYTES = 64 * 1024 * 1024
 
 
 @attrs.define(eq=False)
 class Client:
-    """Calls to one address, each sent once.
+    """Client of one address; sends each request once.
 
     Parameters
     ----------
@@ -24,13 +24,15 @@
     port : int
         TCP port.
     host_name : str, optional
-        Value of the Host header; the address if it is left out.
+        Value of the Host header; defaults to the address.
+    max_body : int, optional
+        Maximum length of a response body in bytes.
     """
 
     host: str
     port: int
     host_name: str | None = None
-    max_body: int = DEFAULT_MAX_BODY
+    max_body: int = DEFAULT_MAX_BODY_BYTES
     _pool: ConnectionPool = attrs.field(init=False)
 
     def __attrs_post_init__(self):
@@ -44,27 +46,27 @@
     def call(
         self, method, path, *, timeout, headers=(), body=b"", idempotent=False
     ) -> Outcome:
-        """Make one call.
+        """Send a request and return the outcome.
 
         Parameters
         ----------
         method, path : str
-            Request line.
+            Parts of the request line.
         timeout : float
-            Seconds for the whole call.
+            Time in seconds for the complete call.
         headers : iterable of (str, str), optional
-            Further headers.
+            Additional headers.
         body : bytes, optional
             Request body.
         idempotent : bool, optional
-            Whether a connection that idled long may carry it.
+            Whether the request may use a connection that has idled for long.
         """
         deadline = time.monotonic() + timeout
         payload = encode_request(method, path, self.authority, headers, body)
         conn = self._pool.acquire(idempotent, timeout)
         if isinstance(conn, ConnectFailed):
             return NotSent(Failure.CONNECT)
-        watch_liveness(conn.sock)
+        enable_keepalive(conn.sock)
         outcome = exchange(conn, method, payload, deadline, self.max_body)
         if isinstance(outcome, Reply) and conn.is_open:
             self._pool.release(conn)
--- a/packages/wire/src/cairnferry/wire/_connection.py
+++ b/packages/wire/src/cairnferry/wire/_connection.py
@@ -1,4 +1,4 @@
-"""A TCP connection to one address and what is known of its liveness."""
+"""TCP connections and checks of whether they are still usable."""
 
 import math
 import time
@@ -16,7 +16,7 @@
     Attributes
     ----------
     reason : str
-        Name of the error, as the operating system gives it.
+        "timeout", or the name of the Python exception.
     """
 
     reason: str
@@ -24,7 +24,7 @@
 
 @attrs.define(slots=True, eq=False)
 class Connection:
-    """An open connection that carries one exchange at a time.
+    """Open connection that carries one exchange at a time.
 
     Attributes
     ----------
@@ -33,9 +33,10 @@
     address : tuple of (str, int)
         Remote IP address and port.
     idle_since : float
-        Monotonic time in seconds of opening or of the last whole exchange.
+        Monotonic time in seconds of the opening or of the last complete exchange.
     idle_limit : float
-        Seconds without use after which the remote side has said it would close.
+        Idle time in seconds after which the remote side has announced to close the
+        connection.
     """
 
     sock: socket.socket
@@ -44,20 +45,20 @@
     idle_limit: float = math.inf
 
     def is_quiet(self) -> bool:
-        """Tell whether the remote side has neither closed nor sent anything.
+        """Return whether the remote side has neither closed nor sent anything.
 
         Notes
         -----
-        A remote side that closed while the connection was idle would show as a
-        reset after the request was written: then it is unknown whether it ran.
-        Bytes that nobody asked for would be taken for the answer to the next
-        request. Both are seen here by one read that does not wait.
+        If the remote side closed an idle connection, the next request would fail with a
+        reset after it was written, and it would be unknown whether it ran. Unsolicited
+        bytes would be parsed as the response to the next request. One non-blocking
+        read detects both.
         """
         return is_quiet(self.sock)
 
     @property
     def is_open(self) -> bool:
-        """Whether it was not closed here."""
+        """Whether this side has not closed the connection."""
         return self.sock.fileno() >= 0
 
     def close(self) -> None:
@@ -73,7 +74,7 @@
     address : tuple of (str, int)
         IP address and port.
     timeout : float
-        Seconds to wait at most.
+        Maximum time to wait in seconds.
     """
     if timeout <= 0:
         return ConnectFailed("timeout")
--- a/packages/wire/src/cairnferry/wire/_exchange.py
+++ b/packages/wire/src/cairnferry/wire/_exchange.py
@@ -1,4 +1,4 @@
-"""One request, one answer, and what is known when there is none."""
+"""Exchange of one request and one response, with evidence on failures."""
 
 import enum
 import time
@@ -9,14 +9,14 @@
 
 from cairnferry.wire._connection import Connection
 
-RECV_SIZE = 65536
-MAX_HEAD = 65536
+RECV_SIZE_BYTES = 65536
+MAX_HEAD_BYTES = 65536
 FIRST_FINAL_STATUS = 200
 BODILESS_STATUSES = (204, 304)
 
 
 class Failure(enum.StrEnum):
-    """Why an exchange gave no whole answer."""
+    """Reason why an exchange returned no complete response."""
 
     TIMEOUT = "timeout"
     RESET = "reset"
@@ -28,7 +28,7 @@
 
 
 def find_header(headers: list[tuple[str, str]], name: str) -> str | None:
-    """Give the first value of a header; `name` in lower case."""
+    """Return the first value of a header, or None; `name` is in lower case."""
     for key, value in headers:
         if key.lower() == name:
             return value
@@ -37,16 +37,16 @@
 
 @attrs.frozen
 class Reply:
-    """A whole answer: the request ran, or the target says otherwise in it.
+    """Complete response: the request ran, unless the response says otherwise.
 
     Attributes
     ----------
     status : int
         HTTP status.
     headers : list of (str, str)
-        As received, in order.
+        Names and values as received, in order.
     body : bytes
-        Whole body.
+        Complete body.
     """
 
     status: int
@@ -54,20 +54,20 @@
     body: bytes
 
     def header(self, name: str) -> str | None:
-        """Give the first value of a header; `name` in lower case."""
+        """Return the first value of a header, or None; `name` is in lower case."""
         return find_header(self.headers, name)
 
 
 @attrs.frozen
 class NotSent:
-    """No byte of the request was written: it cannot have run."""
+    """No byte of the request was written, so it cannot have run."""
 
     failure: Failure
 
 
 @attrs.frozen
 class Incomplete:
-    """Some of the request may have arrived, and no whole answer came back."""
+    """The request may have arrived, but no complete response was received."""
 
     failure: Failure
 
@@ -77,22 +77,22 @@
 
 @attrs.frozen
 class ResponseRules:
-    """What counts as the whole answer to a request.
+    """Conditions under which a response is accepted as complete.
 
-    The defaults are the strictest ones. The others may be chosen only where
-    something in the answer proves by itself that it is the request's own and whole.
+    The defaults are the strictest conditions. Weaker ones are safe only if the content
+    of a response proves that it belongs to the request and is complete.
 
     Attributes
     ----------
     is_foreign : callable or None
-        Tells from the headers of an answer whether it belongs to another request.
-        Such an answer, which came late, is passed over.
+        Called with the headers of a response; returns whether the response belongs to
+        another request. Such a late response is skipped.
     close_ends_body : bool
-        Whether an answer without a length is whole when the target closes in
-        order. One that ends by a reset never is.
+        Whether a response without a length is complete when the target closes the
+        connection in order. A response that ends with a reset is never complete.
     ignore_overrun : bool
-        Whether bytes behind a whole answer are dropped with the connection; if not,
-        the answer is not taken either.
+        Whether to accept a response that is followed by further bytes, and to drop
+        these bytes and the connection. Otherwise the response is rejected.
     """
 
     is_foreign: Callable[[list[tuple[str, str]]], bool] | None = None
@@ -100,11 +100,11 @@
     ignore_overrun: bool = False
 
 
-STRICT = ResponseRules()
+STRICT_RULES = ResponseRules()
 
 
 def describe_outcome(outcome: Outcome) -> str:
-    """Say in a few words how an exchange ended, for messages and logs."""
+    """Return a short description of an outcome for messages and logs."""
     match outcome:
         case Reply(status=status):
             return f"status {status}"
@@ -115,42 +115,42 @@
 
 
 class _StrictResponse(HTTPResponse):
-    """Parser that takes one final answer and nothing behind it."""
+    """Parser that accepts one final response without trailing bytes."""
 
     def __init__(self, method, rules):
         super().__init__(method)
         self.overrun = False
-        self.passed_over = False
-        self.received = []
-        self.whole: Reply | None = None
+        self.skipped_unrelated = False
+        self.received_headers = []
+        self.reply: Reply | None = None
         self._rules = rules
 
     def _on_message_begin(self):
-        # Bytes behind a whole answer would start a second one, whose headers
-        # replace those of the first while the body is appended to it: an answer
-        # made of two. The library does so on purpose for interim answers.
-        if self.whole is not None:
+        # Bytes after a complete response start a second one. The library would then
+        # replace the headers of the first response and append the second body to the
+        # first, which mixes two responses. It does so on purpose for interim responses.
+        if self.reply is not None:
             self.overrun = True
-        self.received = []
+        self.received_headers = []
         super()._on_message_begin()
 
     def _on_message_complete(self):
         super()._on_message_complete()
-        if self.whole is not None or self.get_code() < FIRST_FINAL_STATUS:
+        if self.reply is not None or self.get_code() < FIRST_FINAL_STATUS:
             return
         is_foreign = self._rules.is_foreign
-        if is_foreign is not None and is_foreign(self.received):
-            self.passed_over = True
+        if is_foreign is not None and is_foreign(self.received_headers):
+            self.skipped_unrelated = True
             self._body_buffer.clear()
             return
         body = bytes(self._body_buffer)
-        self.whole = Reply(self.get_code(), self.received, body)
+        self.reply = Reply(self.get_code(), self.received_headers, body)
 
     def _flush_header(self):
-        # The library's index joins repeated headers; a relay keeps them apart.
+        # The library joins repeated headers; a proxy has to keep them separate.
         if self._current_header_field is not None:
             value = self._current_header_value or ""
-            self.received.append((self._current_header_field, value))
+            self.received_headers.append((self._current_header_field, value))
         super()._flush_header()
 
 
@@ -160,36 +160,36 @@
     payload: bytes,
     deadline: float,
     max_body: int,
-    rules: ResponseRules = STRICT,
+    rules: ResponseRules = STRICT_RULES,
 ) -> Outcome:
-    """Send a request and read its whole answer.
+    """Send a request and read the complete response.
 
     Parameters
     ----------
     conn : Connection
-        Carries no other exchange. Closed here unless it may be used again.
+        Connection without another exchange. It is closed unless it is reusable.
     method : str
-        Method of the request; decides whether an answer has a body.
+        Method of the request; determines whether a response has a body.
     payload : bytes
         Encoded request.
     deadline : float
         Monotonic time in seconds.
     max_body : int
-        Longest body taken, in bytes.
+        Maximum length of the response body in bytes.
     rules : ResponseRules, optional
-        What counts as a whole answer.
+        Conditions under which a response is accepted as complete.
 
     Returns
     -------
     Reply, NotSent or Incomplete
-        The evidence. After anything but a Reply the connection is closed.
+        Outcome of the exchange. After any outcome but a Reply the connection is closed.
 
     Notes
     -----
-    The deadline is looked at right before the first byte: a process that was
-    paused wakes late and would otherwise send work that nobody waits for.
+    The deadline is checked right before the first byte is sent. Otherwise a process
+    that resumes after a pause would send a request whose caller no longer waits.
     """
-    keep = False
+    is_reusable = False
     try:
         remaining = deadline - time.monotonic()
         if remaining <= 0:
@@ -198,10 +198,10 @@
         outcome = _send(conn.sock, payload)
         if outcome is not None:
             return outcome
-        outcome, keep = _receive(conn.sock, method, deadline, max_body, rules)
+        outcome, is_reusable = _receive(conn.sock, method, deadline, max_body, rules)
         return outcome
     finally:
-        if keep:
+        if is_reusable:
             conn.idle_since = time.monotonic()
         else:
             conn.close()
@@ -218,30 +218,30 @@
 
 
 def _receive(sock, method, deadline, max_body, rules):
-    """Read until the answer is whole; tell also if the connection may be kept."""
+    """Return the outcome and whether the connection is reusable."""
     parser = _StrictResponse(method, rules)
     head_bytes = 0
-    while parser.whole is None:
+    while parser.reply is None:
         data = _recv(sock, deadline)
         if isinstance(data, Incomplete):
             return data, False
         try:
             parser.feed(data)
         except HTTPParseError:
-            if parser.whole is not None and rules.ignore_overrun:
+            if parser.reply is not None and rules.ignore_overrun:
                 parser.overrun = True
                 break
             failure = Failure.BAD_FRAMING if data else Failure.CUT_SHORT
             return Incomplete(failure), False
-        if not data and parser.whole is None:
+        if not data and parser.reply is None:
             return Incomplete(Failure.CUT_SHORT), False
         if len(parser._body_buffer) > max_body:
             return Incomplete(Failure.TOO_LARGE), False
         if not parser.headers_complete:
             head_bytes += len(data)
-            if head_bytes > MAX_HEAD:
+            if head_bytes > MAX_HEAD_BYTES:
                 return Incomplete(Failure.TOO_LARGE), False
-    return _finish(parser, rules)
+    return _check_framing(parser, rules)
 
 
 def _recv(sock, deadline):
@@ -250,35 +250,35 @@
         return Incomplete(Failure.TIMEOUT)
     sock.settimeout(remaining)
     try:
-        return sock.recv(RECV_SIZE)
+        return sock.recv(RECV_SIZE_BYTES)
     except TimeoutError:
         return Incomplete(Failure.TIMEOUT)
     except OSError:
         return Incomplete(Failure.RESET)
 
 
-def _finish(parser, rules):
+def _check_framing(parser, rules):
     if parser.overrun:
         if rules.ignore_overrun:
-            return parser.whole, False
+            return parser.reply, False
         return Incomplete(Failure.BAD_FRAMING), False
     if not _has_explicit_length(parser):
         if rules.close_ends_body and parser.get("transfer-encoding") is None:
-            return parser.whole, False
+            return parser.reply, False
         return Incomplete(Failure.BAD_FRAMING), False
-    return parser.whole, not (parser.passed_over or parser.should_close())
+    return parser.reply, not (parser.skipped_unrelated or parser.should_close())
 
 
 def _has_explicit_length(parser):
-    """Tell whether the end of the body was marked, in one way only.
+    """Return whether the response defines the length of its body in exactly one way.
 
-    An answer that ends with its connection can't be told from one that was cut
-    short: a part would pass for the whole.
+    A response that ends with the connection cannot be distinguished from a truncated
+    one, so that a part would be accepted as the complete body.
     """
     if parser.method == "HEAD" or parser.get_code() in BODILESS_STATUSES:
         return True
-    lengths = parser.get("content-length")
-    coded = parser.get("transfer-encoding")
-    if coded is not None:
-        return lengths is None and coded.lower() == "chunked"
-    return isinstance(lengths, str)
+    content_length = parser.get("content-length")
+    transfer_encoding = parser.get("transfer-encoding")
+    if transfer_encoding is not None:
+        return content_length is None and transfer_encoding.lower() == "chunked"
+    return isinstance(content_length, str)
--- a/packages/wire/src/cairnferry/wire/_pool.py
+++ b/packages/wire/src/cairnferry/wire/_pool.py
@@ -1,4 +1,4 @@
-"""Idle connections to one address."""
+"""Pool of connections to one address."""
 
 import time
 from collections import deque
@@ -7,31 +7,33 @@
 
 from cairnferry.wire._connection import ConnectFailed, Connection, connect
 
-# Seconds before the time at which the remote side closes an idle connection, from
-# which a request might cross the close.
+# Seconds before the announced close of an idle connection from which it is no longer
+# used, because a request could cross the close.
 CLOSE_MARGIN_S = 0.7
 
 
 @attrs.define(eq=False)
 class ConnectionPool:
-    """Idle connections to one address, the last used first.
+    """Pool of idle connections to one address; the last used is taken first.
 
     Parameters
     ----------
     address : tuple of (str, int)
         IP address and port.
     max_idle : int
-        Idle connections kept; more are closed.
+        Maximum number of idle connections; further ones are closed.
     max_idle_s : float
-        Age in seconds from which an idle connection is not used again.
+        Idle time in seconds after which a connection is not used again.
     trusted_idle_s : float
-        Age in seconds up to which a non-idempotent request may use one.
+        Idle time in seconds up to which a non-idempotent request may use a connection.
 
     Attributes
     ----------
-    opened, lost : int
-        Connections opened, and idle ones that were too old or no longer alive when
-        they were wanted.
+    opened : int
+        Number of connections opened.
+    stale : int
+        Number of idle connections that were discarded at their next use because they
+        were closed or had idled too long.
     """
 
     address: tuple[str, int]
@@ -44,13 +46,20 @@
     _closed: bool = attrs.field(default=False, init=False)
 
     def acquire(self, idempotent: bool, timeout: float) -> Connection | ConnectFailed:
-        """Give an idle connection that looks alive, or open one.
+        """Return an idle connection that is still usable, or open one.
+
+        Parameters
+        ----------
+        idempotent : bool
+            Whether the request is idempotent.
+        timeout : float
+            Maximum time in seconds to wait for a new connection.
 
         Notes
         -----
-        A connection that has idled long may be closed by the target at the same
-        moment. A request that was written by then is unknown, so that a
-        non-idempotent one gets a connection used lately, or a new one.
+        The target may close a long idle connection at the moment of its next use. Then
+        it is unknown whether the request ran. A non-idempotent request therefore gets
+        a recently used connection or a new one.
         """
         now = time.monotonic()
         while self._idle:
@@ -63,31 +72,31 @@
                 continue
             if idempotent or age <= self.trusted_idle_s:
                 return conn
-            # Too old for this one, but the next idempotent request may use it, and
-            # all that lie below it are older.
+            # Too old for this request, but usable for the next idempotent one. All
+            # connections below it in the stack are older.
             self._idle.append(conn)
             break
         return self.open(timeout)
 
     def open(self, timeout: float) -> Connection | ConnectFailed:
-        """Open a connection, whatever idles."""
+        """Open a connection, even if idle ones are available."""
         self.opened += 1
         return connect(self.address, timeout)
 
     def release(self, conn: Connection) -> None:
-        """Take back a connection after a whole exchange."""
+        """Return a connection to the pool after a complete exchange."""
         if self._closed or len(self._idle) >= self.max_idle:
             conn.close()
             return
         self._idle.append(conn)
 
     def close(self) -> None:
-        """Close what is idle now and what comes back later."""
+        """Close all idle connections, and each released one from now on."""
         self._closed = True
         while self._idle:
             self._idle.pop().close()
 
     @property
     def idle(self) -> int:
-        """Idle connections held."""
+        """Number of idle connections."""
         return len(self._idle)
--- a/packages/wire/src/cairnferry/wire/_request.py
+++ b/packages/wire/src/cairnferry/wire/_request.py
@@ -5,50 +5,54 @@
 import attrs
 
 _TOKEN = re.compile(r"^[!#$%&'*+.^_`|~0-9A-Za-z-]+\Z")
-_FORBIDDEN_IN_VALUE = re.compile(r"[\x00-\x08\x0a-\x1f\x7f]")
-_FORBIDDEN_IN_PATH = re.compile(r"[^!-~]")
+_INVALID_IN_VALUE = re.compile(r"[\x00-\x08\x0a-\x1f\x7f]")
+_INVALID_IN_PATH = re.compile(r"[^!-~]")
 
 
 @attrs.frozen
 class HeaderInvalid(Exception):
-    """A request line or header could not be sent without changing its meaning.
+    """The request line or a header contains characters that break the framing.
 
-    A line break in a value would let a caller write headers, or a second
-    request, of its own making.
+    A line break in a value would let a caller inject headers or a second request.
+
+    Attributes
+    ----------
+    field : str
+        "method", "path" or the name of the header.
     """
 
     field: str
 
 
 def encode_request(method, path, host, headers, body) -> bytes:
-    """Encode a request with an explicit length.
+    """Return an encoded request with an explicit length.
 
     Parameters
     ----------
     method, path, host : str
-        Request line and Host header.
+        Parts of the request line, and value of the Host header.
     headers : iterable of (str, str)
-        Without Host, Content-Length and connection headers.
+        Headers other than Host, Content-Length and connection headers.
     body : bytes
-        May be empty.
+        Request body; may be empty.
 
     Returns
     -------
     bytes
-        Head and body together, so that they can leave in one segment.
+        Head and body together, so that they can be sent in one segment.
 
     Raises
     ------
     HeaderInvalid
-        If a part has characters that would break the framing.
+        If a part contains characters that break the framing.
     """
     if not _TOKEN.match(method):
         raise HeaderInvalid("method")
-    if not path or _FORBIDDEN_IN_PATH.search(path):
+    if not path or _INVALID_IN_PATH.search(path):
         raise HeaderInvalid("path")
     lines = [f"{method} {path} HTTP/1.1", f"Host: {host}"]
     for name, value in headers:
-        if not _TOKEN.match(name) or _FORBIDDEN_IN_VALUE.search(value):
+        if not _TOKEN.match(name) or _INVALID_IN_VALUE.search(value):
             raise HeaderInvalid(name)
         lines.append(f"{name}: {value}")
     if body or method not in ("GET", "HEAD", "DELETE", "OPTIONS", "TRACE"):
--- a/tests/cloudapi/test_cloudapi.py
+++ b/tests/cloudapi/test_cloudapi.py
@@ -1,4 +1,4 @@
-"""Clients of the platform against its stand-in, with its faults."""
+"""Tests of the platform clients against a stand-in with injected faults."""
 
 import pytest
 
@@ -49,7 +49,7 @@
     return Write(Item(key, version, body), expected)
 
 
-def test_rows_are_written_together_or_not_at_all(table):
+def test_transaction_is_atomic(table):
     assert table.transact((put("head", 1), put("log/1", 1, body="é"))).is_ok()
     refused = table.transact((put("head", 2, 1), put("log/1", 2)))
     assert refused.error == ConditionFailed(("log/1",))
@@ -64,7 +64,7 @@
     assert table.transact((put("head", 2, 1),)).is_ok()
 
 
-def test_a_range_is_read_in_order_over_pages(table):
+def test_range_is_read_in_order_across_pages(table):
     for number in range(1, 13):
         table.transact((put(f"log/{number}", number, body="x" * 150_000),))
     rows = table.read_range("log", 2, 11).ok
@@ -79,7 +79,7 @@
         (Outage.ERROR, WriteUnknown),
     ],
 )
-def test_an_outage_makes_writes_unknown_and_reads_unavailable(
+def test_outage_makes_writes_unknown_and_reads_unavailable(
     standin, table, outage, write_error
 ):
     standin.faults.outage = outage
@@ -89,24 +89,24 @@
     assert table.meter.failures == 3
 
 
-def test_nobody_listening_proves_that_nothing_was_written(standin, table):
+def test_refused_connection_proves_that_nothing_was_written(standin, table):
     standin.stop()
     assert isinstance(table.transact((put("a", 1),)).error, TableUnavailable)
 
 
-def test_a_lost_answer_is_unknown_and_the_write_took_effect(standin, table):
+def test_lost_response_is_unknown_and_the_write_took_effect(standin, table):
     standin.faults.lose_answers = 1
     assert isinstance(table.transact((put("a", 1),)).error, WriteUnknown)
     assert table.read("a").ok.version == 1
 
 
-def test_what_the_service_refuses_was_not_written(table):
+def test_refused_transaction_was_not_written(table):
     too_large = put("a", 1, body="x" * 500_000)
     error = table.transact((too_large,)).error
     assert error == TableUnavailable("ValidationException")
 
 
-def test_objects_are_written_and_read_whole(standin, client):
+def test_objects_are_written_and_read(standin, client):
     store = ObjectStore(client, "b", Signer(None, "s3", "r"), TIMEOUT_S)
     assert store.get("x/y").ok is None
     assert store.put("x/y", b"\x00\xff").is_ok()
@@ -116,7 +116,7 @@
     assert isinstance(store.put("x/y", b"").error, ObjectStoreUnavailable)
 
 
-def groups(*states):
+def discovery_groups(*states):
     return [
         {
             "targets": [f"10.0.0.{i}:1"],
@@ -131,9 +131,9 @@
     ]
 
 
-def test_the_list_of_instances_lags(standin, client):
+def test_instance_list_lags(standin, client):
     instances = InstanceList(client, "/instances", TIMEOUT_S)
-    standin.instances.write(groups("live", "leaving"))
+    standin.instances.write(discovery_groups("live", "leaving"))
     expected = [
         Instance("i0", "z", "entry", "10.0.0.0:1", False),
         Instance("i1", "z", "entry", "10.0.0.1:1", True),
@@ -144,7 +144,7 @@
 
 
 @pytest.mark.parametrize("document", [[{"targets": []}], [1], {"a": 1}])
-def test_a_malformed_list_is_no_list(standin, client, document):
+def test_malformed_instance_list_is_an_error(standin, client, document):
     standin.instances.write(document)
     fetched = InstanceList(client, "/instances", TIMEOUT_S).fetch()
     assert isinstance(fetched.error, TableUnavailable)
@@ -159,7 +159,7 @@
     assert "very-secret" not in repr(signer) + str(headers)
 
 
-def test_credentials_are_read_and_faults_hide_them(tmp_path):
+def test_credentials_are_read_and_errors_hide_them(tmp_path):
     path = tmp_path / "c.ini"
     path.write_text("[credentials]\naccess_key = a\nsecret_key = s3cret\n")
     assert read_credentials(str(path)).secret_key == "s3cret"
--- a/tests/coordination/test_changelog.py
+++ b/tests/coordination/test_changelog.py
@@ -1,4 +1,4 @@
-"""Accepted once, under lost answers, races and outages of the table."""
+"""Tests of the change log under lost responses, races and table outages."""
 
 import attrs
 import pytest
@@ -21,7 +21,7 @@
 
 @attrs.define
 class FakeTable:
-    """Table in memory; `script` holds what happens to the next transactions."""
+    """Table in memory; `script` lists the outcomes of the next transactions."""
 
     rows: dict = attrs.field(factory=dict)
     script: list = attrs.field(factory=list)
@@ -44,14 +44,14 @@
             return Error(TableUnavailable("outage"))
         if event == "lost-before":
             return Error(WriteUnknown("timeout"))
-        failed = tuple(w.item.key for w in writes if not self._holds(w))
+        failed = tuple(w.item.key for w in writes if not self._condition_met(w))
         if failed:
             return Error(ConditionFailed(failed))
         for write in writes:
             self.rows[write.item.key] = write.item
         return Error(WriteUnknown("timeout")) if event == "lost-after" else Ok(None)
 
-    def _holds(self, write):
+    def _condition_met(self, write):
         row = self.rows.get(write.item.key)
         return (row.version if row else None) == write.expected_version
 
@@ -64,7 +64,7 @@
     return {"change_id": change_id, "value": value}
 
 
-def test_revisions_follow_each_other_without_gaps():
+def test_revisions_are_consecutive():
     log = make_log(FakeTable())
     assert log.head().ok == 0
     assert log.append(0, (change("a"),)).ok == Appended(1)
@@ -75,7 +75,7 @@
     assert log.status("z").ok.revision is None
 
 
-def test_an_older_head_is_refused():
+def test_append_on_an_older_head_is_refused():
     log = make_log(FakeTable())
     log.append(0, (change("a"),))
     assert log.append(0, (change("b"),)).error == HeadMoved()
@@ -90,11 +90,11 @@
         ["lost-after"] * 3,
     ],
 )
-def test_a_lost_answer_neither_loses_nor_repeats_a_change(script):
-    """Symptom: a change is in force twice, or an accepted one is told refused.
+def test_lost_response_neither_loses_nor_repeats_a_change(script):
+    """Guards against a change applied twice, or accepted and reported as refused.
 
-    Events: the write takes effect, or not, and its answer is lost. Cause: the
-    writer cannot tell the two apart; the same transaction, sent again, can.
+    When the response to a write is lost, the writer cannot know whether the write took
+    effect. Sending the same transaction again resolves this.
     """
     table = FakeTable(script=script)
     log = make_log(table)
@@ -103,16 +103,16 @@
     assert len(log.rows(1, 9).ok) == 1
 
 
-def test_what_stays_unknown_is_told_so():
+def test_unresolved_write_is_reported_as_unknown():
     table = FakeTable(script=["lost-before"] * 9)
     assert isinstance(make_log(table).append(0, (change("a"),)).error, OutcomeUnknown)
 
 
-def test_a_lost_answer_and_then_an_outage_is_unknown_not_refused():
-    """Symptom: an operator is told "refused" for a change that is in force.
+def test_outage_after_a_lost_response_is_unknown_not_refused():
+    """Guards against reporting a change as refused although it is in effect.
 
-    Events: the write takes effect, its answer is lost, then the table is down.
-    Cause: the outage says nothing of the write before it.
+    The write takes effect, its response is lost, and then the table is down. The outage
+    does not prove anything about the earlier write.
     """
     table = FakeTable(script=["lost-after", "down", "down", "down"])
     log = make_log(table, attempts=4)
@@ -122,12 +122,12 @@
     assert log.status("a").ok.revision == 1
 
 
-def test_an_outage_before_any_write_is_not_unknown():
+def test_outage_before_any_write_is_reported_as_unavailable():
     log = make_log(FakeTable(script=["down"]))
     assert isinstance(log.append(0, (change("a"),)).error, TableUnavailable)
 
 
-def test_a_row_beyond_the_limit_is_refused_before_it_is_sent():
+def test_too_large_row_is_refused_before_it_is_sent():
     table = FakeTable()
     error = make_log(table).append(0, (change("a", "x" * 400_000),)).error
     assert isinstance(error, LogTooLarge)
@@ -135,7 +135,7 @@
 
 
 class Writer:
-    """One daemon's side of the group commit, over a shared table."""
+    """Group commit of one daemon on a shared table."""
 
     def __init__(self, table):
         self.log = make_log(table, attempts=30)
@@ -159,14 +159,14 @@
         return [self.outcomes.pop(i) for i in range(len(changes))]
 
 
-def test_what_waits_goes_into_one_transaction():
+def test_waiting_changes_go_into_one_transaction():
     table = FakeTable()
     outcomes = Writer(table).commit(*[change(f"c{i}") for i in range(50)])
     assert outcomes == [[Ok(Appended(1))]] * 50
     assert table.transactions == 1
 
 
-def test_a_refused_change_does_not_stop_the_others():
+def test_refused_change_does_not_block_the_others():
     first, second, third = Writer(FakeTable()).commit(
         change("a"), change("b", "bad"), change("c")
     )
@@ -174,11 +174,11 @@
     assert second == [Error("refused")]
 
 
-def test_writers_that_race_all_get_through():
-    """Symptom: operators are refused although no record of theirs has changed.
+def test_all_competing_writers_succeed():
+    """Guards against refusing a change although none of its records has changed.
 
-    Events: several daemons commit at once; all but one find the head moved.
-    Cause: the head orders all changes, so that the rest are tried on top.
+    Several daemons commit at once and all but one find that the head has moved. These
+    must retry on top of the new head.
     """
     table = FakeTable()
     loser = Writer(table)
@@ -194,7 +194,7 @@
     assert loser.commit(change("a")) == [[Ok(Appended(2))]]
 
 
-def test_the_same_change_sent_again_gets_the_same_answer():
+def test_repeated_change_gets_the_same_outcome():
     writer = Writer(FakeTable())
     writer.commit(change("a"))
     writer.commit(change("b"))
@@ -203,11 +203,11 @@
     assert writer.log.head().ok == 3
 
 
-def test_another_change_under_a_known_id_is_refused():
-    """Symptom: an operator is told "accepted" and nothing of it is in force.
+def test_different_change_under_a_known_id_is_refused():
+    """Guards against reporting a change as accepted that was never applied.
 
-    Events: an ID is used for two different changes. Cause: the log knows the ID,
-    and the first change's outcome would be given for the second.
+    An ID is used for two different changes. As the log holds the ID, the outcome of the
+    first change would be returned for the second.
     """
     writer = Writer(FakeTable())
     writer.commit(change("a"))
@@ -217,7 +217,7 @@
     assert first == [Ok(Appended(2))]
 
 
-def test_more_than_a_row_holds_is_spread_over_rows():
+def test_changes_larger_than_a_row_are_split_over_rows():
     writer = Writer(FakeTable())
     outcomes = writer.commit(*[change(f"c{i}", "x" * 100_000) for i in range(7)])
     assert [result[0].ok.revision for result in outcomes] == [1, 1, 1, 2, 2, 2, 3]
--- a/tests/coordination/test_eras.py
+++ b/tests/coordination/test_eras.py
@@ -1,4 +1,4 @@
-"""Stamps of versions, and copies of a table over drills of its store."""
+"""Tests of version stamps and of replicas across restores of the store."""
 
 import attrs
 import pytest
@@ -17,13 +17,13 @@
 
 
 @pytest.mark.parametrize(("era", "version"), [(0, 7), (1, 1), (MAX_ERA, 2**40 - 1)])
-def test_a_stamp_holds_era_and_version_and_fits_the_wire(era, version):
-    stamped = stamp(era, version)
-    assert (era_of(stamped), version_of(stamped)) == (era, version)
-    assert stamped < 2**63
+def test_stamp_holds_era_and_version_and_fits_64_bits(era, version):
+    with_stamp = stamp(era, version)
+    assert (era_of(with_stamp), version_of(with_stamp)) == (era, version)
+    assert with_stamp < 2**63
 
 
-def test_all_of_a_later_era_is_later():
+def test_stamps_of_a_later_era_are_later():
     assert stamp(1, 480) > stamp(0, 500)
     assert stamp(0, 500) > stamp(0, 480)
     assert stamp(4, 0) == 0
@@ -31,51 +31,51 @@
 
 @attrs.define
 class Store:
-    """Rows, versions, an era, and a copy of some time ago."""
+    """Store with versioned rows, an era and a backup."""
 
     rows: dict = attrs.field(factory=dict)
     version: int = 0
     era: int = 0
-    kept: tuple = ((), 0)
+    backup: tuple = ((), 0)
 
     def write(self, key, value):
         self.version += 1
         self.rows[key] = Row(key, value, self.version)
 
-    def keep_copy(self):
-        self.kept = (tuple(self.rows.items()), self.version)
+    def back_up(self):
+        self.backup = (tuple(self.rows.items()), self.version)
 
-    def drill(self):
-        self.rows, self.version = dict(self.kept[0]), self.kept[1]
+    def restore(self):
+        self.rows, self.version = dict(self.backup[0]), self.backup[1]
         self.era += 1
 
-    def stamped(self, row):
+    def with_stamp(self, row):
         return attrs.evolve(row, version=stamp(self.era, row.version))
 
     def listing(self):
-        rows = [self.stamped(r) for r in self.rows.values() if r.value is not None]
+        rows = [self.with_stamp(r) for r in self.rows.values() if r.value is not None]
         return Batch(tuple(rows), stamp(self.era, self.version))
 
     def changes(self, position):
-        """Give the changes since a stamp; None if it is of an earlier era."""
+        """Return the changes since a stamp; None if it is of an earlier era."""
         if era_of(position) != self.era:
             return None
-        rows = [self.stamped(row) for row in self.rows.values()]
+        rows = [self.with_stamp(row) for row in self.rows.values()]
         rows = sorted(
             (r for r in rows if r.version > position), key=lambda r: r.version
         )
         return Batch(tuple(rows), stamp(self.era, self.version))
 
-    def holds(self):
+    def contents(self):
         return {k: row.value for k, row in self.rows.items() if row.value is not None}
 
 
-def follow(copy, store):
-    changes = store.changes(copy.version) if copy.version else None
+def follow(replica, store):
+    changes = store.changes(replica.version) if replica.version else None
     if changes is None:
-        copy.apply_listing(store.listing())
+        replica.apply_listing(store.listing())
     else:
-        copy.apply_changes(changes)
+        replica.apply_changes(changes)
 
 
 STEPS = st.lists(
@@ -93,35 +93,35 @@
 
 
 @given(STEPS)
-def test_all_copies_come_to_hold_what_the_store_holds(steps):
-    """Writes, drills, cuts (nobody follows), news and restarts in any order."""
+def test_all_replicas_converge_to_the_rows_of_the_store(steps):
+    """Writes, restores, partitions, updates and restarts happen in any order."""
     store = Store()
-    copies = [TableReplica() for _ in range(4)]
+    replicas = [TableReplica() for _ in range(4)]
     for kind, first, second in steps:
-        before = [copy.version for copy in copies]
+        before = [replica.version for replica in replicas]
         match kind:
             case "write":
                 store.write(first, b"%d" % second)
             case "remove":
                 store.write(first, None)
             case "copy":
-                store.keep_copy()
+                store.back_up()
             case "drill":
-                store.drill()
+                store.restore()
             case "follow":
-                follow(copies[first], store)
+                follow(replicas[first], store)
             case "tell":
-                told = copies[second]
-                news = told.news_since(copies[first].version)
-                copies[first].apply_update(news)
+                sender = replicas[second]
+                update = sender.news_since(replicas[first].version)
+                replicas[first].apply_update(update)
             case "restart":
-                copies[first] = TableReplica()
+                replicas[first] = TableReplica()
                 before[first] = 0
-        for copy, version in zip(copies, before, strict=True):
-            assert copy.version >= version
+        for replica, version in zip(replicas, before, strict=True):
+            assert replica.version >= version
     store.write("last", b"1")
-    follow(copies[0], store)
-    for copy in copies[1:]:
-        copy.apply_update(copies[0].news_since(copy.version))
-    for copy in copies:
-        assert {key: row.value for key, row in copy.rows.items()} == store.holds()
+    follow(replicas[0], store)
+    for replica in replicas[1:]:
+        replica.apply_update(replicas[0].news_since(replica.version))
+    for replica in replicas:
+        assert {key: row.value for key, row in replica.rows.items()} == store.contents()
--- a/tests/coordination/test_membership.py
+++ b/tests/coordination/test_membership.py
@@ -1,4 +1,4 @@
-"""Membership: later news wins, whatever the order in which it comes."""
+"""Tests of membership, ranks, token buckets and notes."""
 
 import itertools
 import random
@@ -26,13 +26,13 @@
 
 
 def membership(name="a", *others):
-    mine = Membership(member(name), random.Random(1), TIMES)
+    view = Membership(member(name), random.Random(1), TIMES)
     for other in others:
-        mine.merge(other, 0)
-    return mine
+        view.merge(other, 0)
+    return view
 
 
-NEWS = st.lists(
+UPDATES = st.lists(
     st.builds(
         member,
         st.sampled_from("bc"),
@@ -44,108 +44,110 @@
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
-@given(NEWS, st.randoms(use_true_random=False))
-def test_the_order_of_news_does_not_matter(news, rng):
+@given(UPDATES, st.randoms(use_true_random=False))
+def test_order_of_updates_does_not_matter(updates, rng):
     known = [member("b"), member("c")]
-    shuffled = list(news)
+    shuffled = list(updates)
     rng.shuffle(shuffled)
-    one = membership("a", *known, *news, *news)
+    one = membership("a", *known, *updates, *updates)
     other = membership("a", *known, *shuffled)
     assert sorted(one.others(), key=str) == sorted(other.others(), key=str)
 
 
 @settings(max_examples=200, derandomize=True, deadline=None)
-@given(NEWS)
-def test_what_is_known_of_a_member_never_goes_back(news):
-    mine = membership("a", member("b"), member("c"))
-    for item in news:
-        before = mine.get(item.name)
-        mine.merge(item, 1)
-        assert not before.supersedes(mine.get(item.name))
-
-
-def test_a_silent_member_is_suspected_then_gone_then_forgotten():
-    mine = membership("a", member("b"))
-    mine.suspect("b", 10)
-    assert [m.name for m in mine.live()] == ["a"]
-    mine.apply_timeouts(13.9)
-    assert mine.get("b").state is MemberState.SUSPECTED
-    mine.apply_timeouts(14)
-    assert mine.get("b").state is MemberState.GONE
-    mine.apply_timeouts(114)
-    assert mine.get("b") is None
-
-
-def test_a_paused_member_that_wakes_refutes_and_is_heard():
-    """Symptom: an instance that was paused is out of use for good.
-
-    Events: it is called gone while it is paused; it wakes. Cause: its old
-    incarnation cannot undo that; it has to raise the number itself.
+@given(UPDATES)
+def test_state_of_a_member_never_reverts(updates):
+    view = membership("a", member("b"), member("c"))
+    for item in updates:
+        before = view.get(item.name)
+        view.merge(item, 1)
+        assert not before.supersedes(view.get(item.name))
+
+
+def test_silent_member_is_suspected_then_gone_then_forgotten():
+    view = membership("a", member("b"))
+    view.suspect("b", 10)
+    assert [m.name for m in view.live()] == ["a"]
+    view.apply_timeouts(13.9)
+    assert view.get("b").state is MemberState.SUSPECTED
+    view.apply_timeouts(14)
+    assert view.get("b").state is MemberState.GONE
+    view.apply_timeouts(114)
+    assert view.get("b") is None
+
+
+def test_resumed_member_refutes_that_it_is_gone():
+    """Guards against excluding a paused instance for good after it resumes.
+
+    It is marked as gone while it is paused. Its old incarnation cannot supersede that,
+    so it has to increment its incarnation.
     """
-    mine = membership("a", member("b"))
-    mine.suspect("b", 0)
-    mine.apply_timeouts(4)
-    woken = membership("b", member("a"))
-    assert not mine.merge(woken.me, 5)
-    woken.merge(mine.get("b"), 5)
-    assert mine.merge(woken.me, 5)
-    assert mine.get("b").state is MemberState.ALIVE
+    view = membership("a", member("b"))
+    view.suspect("b", 0)
+    view.apply_timeouts(4)
+    resumed = membership("b", member("a"))
+    assert not view.merge(resumed.me, 5)
+    resumed.merge(view.get("b"), 5)
+    assert view.merge(resumed.me, 5)
+    assert view.get("b").state is MemberState.ALIVE
 
 
-def test_a_member_that_comes_back_late_hears_that_it_was_called_gone():
-    """Symptom: after a partition daemons stay apart for good.
+def test_late_returning_member_is_notified_that_it_was_marked_gone():
+    """Guards against daemons that stay separated for good after a partition.
 
-    Events: a member is called gone, and all news of it has been told; it is
-    heard again. Cause: nobody tells it, so that it does not refute.
+    A member is marked as gone and the gossip of that update has ended before the member
+    returns. Unless it receives the update, it does not refute it.
     """
-    mine = membership("a", member("b"))
-    mine.suspect("b", 0)
-    mine.apply_timeouts(4)
-    while mine.news():
+    view = membership("a", member("b"))
+    view.suspect("b", 0)
+    view.apply_timeouts(4)
+    while view.pending_updates():
         pass
     back = membership("b", member("a"))
-    mine.merge(back.me, 60)
-    for item in mine.news():
+    view.merge(back.me, 60)
+    for item in view.pending_updates():
         back.merge(item, 60)
-    assert mine.merge(back.me, 60)
+    assert view.merge(back.me, 60)
 
 
-def test_a_woken_member_cannot_undo_what_was_learnt_of_others():
-    mine = membership("a", member("b", incarnation=7))
-    mine.merge(member("b", 7, MemberState.LEAVING), 1)
-    assert not mine.merge(member("b", 7, MemberState.ALIVE), 2)
-    assert not mine.merge(member("b", 6, MemberState.ALIVE), 2)
+def test_old_update_cannot_revert_the_state_of_a_member():
+    view = membership("a", member("b", incarnation=7))
+    view.merge(member("b", 7, MemberState.LEAVING), 1)
+    assert not view.merge(member("b", 7, MemberState.ALIVE), 2)
+    assert not view.merge(member("b", 6, MemberState.ALIVE), 2)
 
 
-def test_a_leaving_member_that_falls_silent_is_gone_at_once():
-    mine = membership("a", member("b", state=MemberState.LEAVING))
-    mine.suspect("b", 1)
-    assert mine.get("b").state is MemberState.GONE
+def test_silent_leaving_member_is_gone_at_once():
+    view = membership("a", member("b", state=MemberState.LEAVING))
+    view.suspect("b", 1)
+    assert view.get("b").state is MemberState.GONE
 
 
 def test_each_peer_is_called_once_before_any_is_called_twice():
     names = [f"m{i}" for i in range(10)]
-    mine = membership("a", *[member(name) for name in names])
+    view = membership("a", *[member(name) for name in names])
     for _ in range(5):
-        calls = [m.name for _ in range(5) for m in mine.next_peers(2)]
+        calls = [m.name for _ in range(5) for m in view.next_peers(2)]
         assert sorted(calls) == names
 
 
-def test_news_is_told_a_bounded_number_of_times():
-    mine = membership("a", member("b"))
-    rounds = list(itertools.takewhile(bool, (mine.news() for _ in range(100))))
+def test_update_is_sent_a_bounded_number_of_times():
+    view = membership("a", member("b"))
+    rounds = list(
+        itertools.takewhile(bool, (view.pending_updates() for _ in range(100)))
+    )
     assert 1 <= len(rounds) < 20
 
 
-def test_leaving_is_told_and_not_undone_by_old_news():
-    mine = membership("a", member("b"))
-    mine.leave()
-    assert member("a", state=MemberState.LEAVING) in mine.news()
-    mine.merge(member("a", 1, MemberState.ALIVE), 1)
-    assert mine.me.state is MemberState.LEAVING
+def test_leaving_is_gossiped_and_not_reverted_by_old_updates():
+    view = membership("a", member("b"))
+    view.leave()
+    assert member("a", state=MemberState.LEAVING) in view.pending_updates()
+    view.merge(member("a", 1, MemberState.ALIVE), 1)
+    assert view.me.state is MemberState.LEAVING
 
 
-def test_a_rank_changes_at_most_one_of_those_chosen():
+def test_removing_a_name_changes_at_most_one_of_the_lowest_ranked():
     names = [f"m{i}" for i in range(30)]
     before = set(lowest_ranked("k", names, 5))
     for gone in names:
@@ -155,23 +157,23 @@
 
 @settings(max_examples=200, derandomize=True, deadline=None)
 @given(st.lists(st.floats(0, 1), max_size=200), st.floats(0.1, 50), st.integers(1, 9))
-def test_a_bucket_never_gives_more_than_rate_and_burst(pauses, rate, burst):
+def test_bucket_never_exceeds_rate_and_burst(pauses, rate, burst):
     bucket = TokenBucket(rate, burst, 0.0)
     now = 0.0
-    given_out = 0
+    taken = 0
     for pause in pauses:
         now += pause
-        given_out += bucket.take(now)
-    assert given_out <= rate * now + burst + 1e-6
+        taken += bucket.take(now)
+    assert taken <= rate * now + burst + 1e-6
 
 
-def test_a_bucket_takes_nothing_from_a_clock_that_goes_back():
+def test_bucket_gains_nothing_when_the_clock_goes_back():
     bucket = TokenBucket(1, 5, 100.0)
     assert not bucket.take(0.0)
     assert not bucket.take(100.5)
 
 
-def test_the_youngest_confirmation_counts():
+def test_latest_confirmation_is_used():
     head = HeadConfirmation()
     assert head.age(10) == float("inf")
     head.confirm(10, 3)
@@ -179,21 +181,21 @@
     assert head.age(12) == 5
 
 
-def test_notes_extend_and_lapse():
-    heard = []
-    board = NoteRegistry(lambda *note: heard.append(note))
-    assert board.post(Note("t", "health", 5), 0, 10)
-    assert not board.post(Note("t", "health", 4), 0, 10)
-    assert not board.post(Note("t", "health", 5), 1, 10)
-    assert heard == [("t", "health", 5), ("t", "health", 6)]
-    assert board.next_notes(2) == (Note("t", "health", 4),)
-    assert board.active_notes(6.1) == []
-    board.drop_expired(6.1)
-    assert board.next_notes(6.1) == ()
-
-
-def test_a_note_cannot_hold_for_ever():
-    heard = []
-    board = NoteRegistry(lambda *note: heard.append(note[2]))
-    board.post(Note("t", "health", 1e9), 0, 1)
-    assert heard == [60]
+def test_notes_are_extended_and_expire():
+    received = []
+    registry = NoteRegistry(lambda *note: received.append(note))
+    assert registry.post(Note("t", "health", 5), 0, 10)
+    assert not registry.post(Note("t", "health", 4), 0, 10)
+    assert not registry.post(Note("t", "health", 5), 1, 10)
+    assert received == [("t", "health", 5), ("t", "health", 6)]
+    assert registry.next_notes(2) == (Note("t", "health", 4),)
+    assert registry.active_notes(6.1) == []
+    registry.drop_expired(6.1)
+    assert registry.next_notes(6.1) == ()
+
+
+def test_lifetime_of_a_note_is_limited():
+    received = []
+    registry = NoteRegistry(lambda *note: received.append(note[2]))
+    registry.post(Note("t", "health", 1e9), 0, 1)
+    assert received == [60]
--- a/tests/records/test_parse.py
+++ b/tests/records/test_parse.py
@@ -1,4 +1,4 @@
-"""Both schema versions lead to one internal form; faults name their field."""
+"""Tests of parsing: both schema versions give the same internal form."""
 
 import pytest
 from hypothesis import given, settings
@@ -27,7 +27,7 @@
 ADDRESS = "10.0.0.1:80"
 
 
-def test_services_of_both_versions_mean_the_same():
+def test_services_of_both_versions_are_equal():
     old = service_v1("s", timeout_s=0.25, retry_percent=20, hedge="yes", queue=5)
     new = service_v2("s", 250, retryBudget=0.2, hedging={"enabled": True}, queueLimit=5)
     assert (
@@ -35,7 +35,7 @@
     )
 
 
-def test_targets_of_both_versions_mean_the_same():
+def test_targets_of_both_versions_are_equal():
     old = target_v1("t", "s", "z", ADDRESS, slots=4, drain=True, health="/h")
     new = target_v2(
         "t", "s", "z", ADDRESS, slots=4, lifecycle="draining", health={"path": "/h"}
@@ -47,7 +47,7 @@
     assert parse_record(old).ok == parse_record(new).ok == expected
 
 
-def test_routes_of_both_versions_mean_the_same():
+def test_routes_of_both_versions_are_equal():
     old = route_v1("r", "/p", "s", safe_methods="GET,PUT", timeout_s=2, bulk=True)
     new = route_v2(
         "r",
@@ -62,7 +62,7 @@
     assert parse_record(old).ok == parse_record(new).ok == expected
 
 
-def test_methods_are_idempotent_as_the_standard_says_unless_told():
+def test_idempotent_methods_default_to_those_of_the_standard():
     methods = parse_record(route_v1("r", "/p", "s")).ok.idempotent_methods
     assert "POST" not in methods
     assert {"GET", "PUT", "DELETE"} <= methods
@@ -89,14 +89,14 @@
         (route_v2("r", "no-slash", "s"), "spec.match.pathPrefix"),
     ],
 )
-def test_a_fault_names_its_field(document, field):
+def test_error_names_the_invalid_field(document, field):
     error = parse_record(document).error
     assert isinstance(error, MalformedRecord)
     assert error.field == field
     assert error.expected
 
 
-def test_an_unknown_schema_version_has_its_own_error():
+def test_unknown_schema_version_has_its_own_error():
     error = parse_record(service_v1("s") | {"schema": 3}).error
     assert error == UnknownSchemaVersion("service/s", "3")
 
@@ -105,7 +105,7 @@
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(),
     lambda inner: st.lists(inner) | st.dictionaries(st.text(), inner),
 )
-NEAR_RECORDS = st.fixed_dictionaries(
+RECORD_LIKE = st.fixed_dictionaries(
     {},
     optional={
         key: JSON | st.sampled_from([1, 2, "service", "target", "route", "s"])
@@ -115,8 +115,8 @@
 
 
 @settings(max_examples=300, derandomize=True, deadline=None)
-@given(JSON | NEAR_RECORDS)
-def test_any_document_gives_a_record_or_a_typed_error(document):
+@given(JSON | RECORD_LIKE)
+def test_any_document_returns_a_record_or_a_typed_error(document):
     parsed = parse_record(document)
     if parsed.is_error():
         assert isinstance(parsed.error, MalformedRecord | UnknownSchemaVersion)
--- a/tests/records/test_recordset.py
+++ b/tests/records/test_recordset.py
@@ -1,4 +1,4 @@
-"""Changes apply whole or not at all, and only to what they expect."""
+"""Tests of record sets: changes are atomic and check the revisions they expect."""
 
 import json
 import zlib
@@ -28,13 +28,13 @@
     return Change("c", edits)
 
 
-def in_force(*documents):
+def record_set(*documents):
     edits = tuple(Put(document, 0) for document in documents)
     return RecordSet().apply(1, (Change("first", edits),)).ok
 
 
-def test_versions_are_in_force_side_by_side_and_replace_each_other():
-    records = in_force(service_v1("s"), route_v2("r", "/r", "s"))
+def test_schema_versions_coexist_and_replace_each_other():
+    records = record_set(service_v1("s"), route_v2("r", "/r", "s"))
     newer = records.apply(2, (change(Put(service_v2("s", 50), 1)),)).ok
     older_schema = newer.apply(3, (change(Put(service_v1("s", 2), 2)),)).ok
     assert older_schema.entries[SERVICE].record.deadline_ms == 2000
@@ -54,27 +54,27 @@
         (Put(service_v1("x") | {"schema": 9}, 0), UnknownSchemaVersion),
     ],
 )
-def test_a_faulty_edit_refuses_the_whole_change(edit, error):
-    records = in_force(service_v1("s"), route_v1("r", "/r", "s"))
+def test_invalid_edit_refuses_the_complete_change(edit, error):
+    records = record_set(service_v1("s"), route_v1("r", "/r", "s"))
     good = Put(service_v1("good"), 0)
     result = records.apply(2, (change(good, edit),))
     assert isinstance(result.error, error)
     assert RecordKey(Kind.SERVICE, "good") not in records.entries
 
 
-def test_a_record_is_edited_once_in_a_change():
+def test_change_edits_a_record_at_most_once():
     edits = (Put(service_v1("s"), 0), Put(service_v1("s"), 0))
     error = RecordSet().apply(1, (change(*edits),)).error
     assert isinstance(error, MalformedChange)
 
 
 @pytest.mark.parametrize("revision", [0, 1, 3])
-def test_only_the_next_revision_applies(revision):
-    records = in_force(service_v1("s"))
+def test_only_the_next_revision_is_applied(revision):
+    records = record_set(service_v1("s"))
     assert records.apply(revision, (change(Put(service_v1("t"), 0)),)).is_error()
 
 
-def test_a_draft_leaves_out_what_does_not_hold():
+def test_draft_skips_invalid_changes():
     draft = RecordSet().draft()
     assert draft.add(change(Put(service_v1("s"), 0))).is_ok()
     assert draft.add(change(Put(service_v1("s"), 0))).is_error()
@@ -82,8 +82,8 @@
     assert len(draft.entries) == 2
 
 
-def test_a_snapshot_gives_the_same_set_back():
-    records = in_force(service_v1("s"), route_v2("r", "/r", "s"))
+def test_snapshot_restores_the_same_set():
+    records = record_set(service_v1("s"), route_v2("r", "/r", "s"))
     assert RecordSet.from_snapshot(records.to_snapshot()).ok == records
 
 
@@ -91,7 +91,7 @@
     "data",
     [b"", b"junk", zlib.compress(b"[]"), zlib.compress(json.dumps({}).encode())],
 )
-def test_a_broken_snapshot_is_refused(data):
+def test_malformed_snapshot_is_refused(data):
     assert isinstance(RecordSet.from_snapshot(data).error, MalformedChange)
 
 
@@ -117,11 +117,11 @@
         ),
     ],
 )
-def test_a_faulty_envelope_names_its_field(document, field):
+def test_error_names_the_invalid_field_of_the_envelope(document, field):
     assert Change.from_json(document).error.field == field
 
 
-def test_the_stored_form_of_a_change_is_read_back():
+def test_stored_form_of_a_change_is_parsed_back():
     original = change(
         Put(service_v1("s"), 0), Put(service_v1("t"), 4), Withdraw(SERVICE, 2)
     )
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings are checked whole, and each fault says where and what."""
+"""Tests of settings: all errors are reported with their place and cause."""
 
 import pytest
 
@@ -38,15 +38,15 @@
     assert cfg.get("b", "path") is None
 
 
-def test_all_faults_are_told_at_once(tmp_path):
+def test_all_errors_are_reported_at_once(tmp_path):
     path = write(
         tmp_path,
         "[a]\nname = Not Good\nlisten = host:80\nother = 1\n"
         "[b]\nwait = 10\non = maybe\n",
     )
     faults = read_settings(KEYS, path, {}).error
-    where = {(fault.section, fault.key) for fault in faults}
-    assert where == {
+    locations = {(fault.section, fault.key) for fault in faults}
+    assert locations == {
         ("a", "name"),
         ("a", "listen"),
         ("a", "other"),
@@ -58,25 +58,25 @@
 
 
 @pytest.mark.parametrize("text", ["nan", "inf", "-1", "x", ""])
-def test_numbers_out_of_range_are_refused(text):
+def test_invalid_numbers_are_refused(text):
     overrides = {"a.name": "n", "a.listen": "127.0.0.1:1", "b.wait": text}
     (fault,) = read_settings(KEYS, None, overrides).error
     assert (fault.source, fault.key) == ("options", "wait")
 
 
-def test_a_missing_key_and_a_missing_file_are_told():
+def test_missing_key_and_missing_file_are_reported():
     faults = read_settings(KEYS, "/nonexistent/x.ini", {"a.name": "n"}).error
     assert ["cannot be read" in f.expected for f in faults] == [True, False]
     assert faults[1].key == "listen"
 
 
-def test_a_file_that_is_not_ini_is_told_in_one_line(tmp_path):
+def test_error_of_a_file_that_is_not_ini_has_one_line(tmp_path):
     faults = read_settings(KEYS, write(tmp_path, "no section\n"), {}).error
     assert "is not INI" in str(faults[0])
     assert "\n" not in str(faults[0])
 
 
-def test_the_table_of_keys_has_a_row_for_each():
+def test_table_of_keys_has_a_row_for_each_key():
     rows = format_key_table(KEYS).splitlines()
     assert len(rows) == 2 + len(KEYS)
     assert "| b | wait | number | s | 1.5 | 0 to 9 | time |" in rows
--- a/tests/wire/test_exchange.py
+++ b/tests/wire/test_exchange.py
@@ -1,4 +1,4 @@
-"""What an exchange proves, for good, broken and ambiguous answers."""
+"""Tests of exchanges with complete, broken and ambiguous responses."""
 
 import socket
 import time
@@ -19,7 +19,7 @@
     exchange,
 )
 
-OK_TWO = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
+OK_RESPONSE = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nhi"
 
 
 def call(port, method="GET", **options):
@@ -29,18 +29,18 @@
 @pytest.mark.parametrize(
     "answer",
     [
-        OK_TWO,
+        OK_RESPONSE,
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n0\r\n\r\n",
-        b"HTTP/1.1 100 Continue\r\n\r\n" + OK_TWO,
+        b"HTTP/1.1 100 Continue\r\n\r\n" + OK_RESPONSE,
     ],
 )
-def test_a_whole_answer_is_a_reply(serve_bytes, answer):
+def test_complete_response_is_a_reply(serve_bytes, answer):
     reply = call(serve_bytes(answer, close=False))
     assert isinstance(reply, Reply)
     assert (reply.status, reply.body) == (200, b"hi")
 
 
-def test_repeated_headers_are_kept_apart_and_in_order(serve_bytes):
+def test_repeated_headers_stay_separate_and_in_order(serve_bytes):
     head = b"HTTP/1.1 200 OK\r\nSet-Cookie: a\r\nSet-Cookie: b\r\n"
     reply = call(serve_bytes(head + b"Content-Length: 0\r\n\r\n", close=False))
     cookies = [value for name, value in reply.headers if name == "Set-Cookie"]
@@ -50,25 +50,24 @@
 @pytest.mark.parametrize(
     ("answer", "failure"),
     [
-        # Symptom: a caller gets the first half of an answer as if it were all.
-        # Events: the target dies while it sends. Cause: the end of the body is
-        # known only from its length, which has to be compared.
+        # Guards against relaying a truncated body as complete. The target crashes
+        # while it sends, so the length of the body has to be checked.
         (b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhi", Failure.CUT_SHORT),
         (
             b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nhi\r\n",
             Failure.CUT_SHORT,
         ),
         (b"", Failure.CUT_SHORT),
-        # Symptom: a cut answer passes for whole. Events: the target marks the
-        # end of the body by closing, and closes early. Cause: nothing tells the
-        # two apart, so such answers are not taken at all.
+        # Guards against accepting a truncated response. If the target marks the end
+        # of the body by closing, an early close cannot be detected, so such responses
+        # are rejected.
         (b"HTTP/1.1 200 OK\r\n\r\nhi", Failure.BAD_FRAMING),
-        # Symptom: one caller gets parts of another's answer. Events: bytes come
-        # behind a whole answer. Cause: they would be read as the next answer.
-        (OK_TWO + OK_TWO, Failure.BAD_FRAMING),
-        (OK_TWO + b"xx", Failure.BAD_FRAMING),
-        # Symptom: the length of an answer depends on who reads it. Events: a
-        # target sends two. Cause: either may be meant.
+        # Guards against mixing the responses of two callers. Bytes after a complete
+        # response would be parsed as the next response.
+        (OK_RESPONSE + OK_RESPONSE, Failure.BAD_FRAMING),
+        (OK_RESPONSE + b"xx", Failure.BAD_FRAMING),
+        # Guards against ambiguous framing. The target sends two lengths, and parsers
+        # differ on which one they use.
         (
             b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nhi",
             Failure.BAD_FRAMING,
@@ -86,21 +85,21 @@
         ),
     ],
 )
-def test_anything_but_a_whole_answer_is_incomplete(serve_bytes, answer, failure):
+def test_any_other_response_is_incomplete(serve_bytes, answer, failure):
     client = Client("127.0.0.1", serve_bytes(answer), max_body=4096)
     assert client.call("GET", "/", timeout=5) == Incomplete(failure)
 
 
-def test_silence_ends_at_the_deadline(serve_bytes):
+def test_exchange_with_a_silent_target_ends_at_the_deadline(serve_bytes):
     client = Client("127.0.0.1", serve_bytes(close=False))
     assert client.call("GET", "/", timeout=0.05) == Incomplete(Failure.TIMEOUT)
 
 
 def test_nothing_is_sent_after_the_deadline(start_target):
-    """Symptom: work runs at a target although nobody waits for it any more.
+    """Guards against requests that run at a target although no caller waits.
 
-    Events: a connection is taken, the process is paused past the deadline, and
-    wakes. Cause: the deadline was looked at only before the pause.
+    The process is paused past the deadline after it acquired a connection. The deadline
+    has to be checked again when the process resumes.
     """
     target = start_target()
     conn = connect(("127.0.0.1", target.port), 1)
@@ -111,7 +110,7 @@
     assert not conn.is_open
 
 
-def test_a_refused_connection_proves_that_nothing_was_sent():
+def test_refused_connection_proves_that_nothing_was_sent():
     with socket.socket() as sock:
         sock.bind(("127.0.0.1", 0))
         port = sock.getsockname()[1]
@@ -119,12 +118,12 @@
 
 
 @pytest.mark.parametrize("method", ["GET", "PUT", "DELETE", "POST"])
-def test_a_call_is_sent_once_whatever_the_method(start_target, method):
-    """Symptom: a target runs one request several times.
+def test_request_of_any_method_is_sent_once(start_target, method):
+    """Guards against running one request several times.
 
-    Events: a target reads a request and closes without an answer. Cause: the
-    HTTP library's own request call sends it again, up to seven times as was
-    seen; only its parser is used here, over connections of our own.
+    A target reads a request and closes without a response. The request function of the
+    HTTP library then sends the request again, up to seven times, so only the parser of
+    that library is used.
     """
     target = start_target(fault="cut-before-run")
     outcome = call(target.port, method, body=b"x" if method == "POST" else b"")
@@ -133,32 +132,32 @@
 
 
 def test_connections_to_targets_send_small_segments_at_once(start_target):
-    """Symptom: each hop takes 44 ms at the median, at every rate.
+    """Guards against a median latency of 44 ms on each hop, at every request rate.
 
-    Events: head and body leave in two segments. Cause: the second waits for the
-    delayed acknowledgement of the first, unless TCP_NODELAY is set.
+    If head and body are sent in two segments without TCP_NODELAY, the second waits for
+    the delayed acknowledgement of the first.
     """
     conn = connect(("127.0.0.1", start_target().port), 1)
     assert conn.sock.getsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY)
 
 
-def test_a_connection_closed_while_idle_is_not_used_again(start_target):
-    """Symptom: a request fails at a healthy target, and may have run.
+def test_connection_closed_while_idle_is_not_used_again(start_target):
+    """Guards against requests that fail at a healthy target with unknown outcome.
 
-    Events: the target closes an idle connection; the next request is written to
-    it. Cause: the close was there to be seen before the request was written.
+    The target closes an idle connection. The close can be detected before the next
+    request is written to that connection.
     """
     target = start_target()
     pool = ConnectionPool(("127.0.0.1", target.port))
-    ours, theirs = socket.socketpair()
-    pool.release(Connection(ours, pool.address))
-    theirs.close()
+    local_end, remote_end = socket.socketpair()
+    pool.release(Connection(local_end, pool.address))
+    remote_end.close()
     conn = pool.acquire(idempotent=True, timeout=1)
-    assert conn.sock is not ours
+    assert conn.sock is not local_end
     assert pool.opened == 1
 
 
-def test_a_non_idempotent_request_gets_no_connection_that_idled_long(start_target):
+def test_non_idempotent_request_gets_no_long_idle_connection(start_target):
     pool = ConnectionPool(("127.0.0.1", start_target().port), trusted_idle_s=1)
     old = pool.acquire(idempotent=True, timeout=1)
     old.idle_since = time.monotonic() - 2
@@ -166,11 +165,13 @@
     assert pool.acquire(idempotent=False, timeout=1) is not old
 
 
-def test_a_connection_too_old_for_an_order_is_kept_for_a_read(start_target):
-    """Symptom: seven connections are opened for every twenty requests.
+def test_connection_too_old_for_a_non_idempotent_request_stays_in_the_pool(
+    start_target,
+):
+    """Guards against opening seven connections for every twenty requests.
 
-    Cause: each non-idempotent request closed all connections that it did not trust,
-    although idempotent ones could use them.
+    Each non-idempotent request closed all connections that were too old for it,
+    although idempotent requests could use them.
     """
     pool = ConnectionPool(("127.0.0.1", start_target().port), trusted_idle_s=1)
     old = pool.acquire(idempotent=True, timeout=1)
@@ -180,7 +181,7 @@
     assert pool.acquire(idempotent=True, timeout=1) is old
 
 
-def test_a_connection_is_not_used_near_the_time_at_which_it_will_be_closed(
+def test_connection_is_not_used_shortly_before_its_announced_close(
     start_target,
 ):
     pool = ConnectionPool(("127.0.0.1", start_target().port))
@@ -200,6 +201,6 @@
         ("GET", "/", ("A\r\nX", "b")),
     ],
 )
-def test_what_would_break_the_framing_is_not_sent(method, path, header):
+def test_request_that_breaks_the_framing_is_not_sent(method, path, header):
     with pytest.raises(HeaderInvalid):
         encode_request(method, path, "h", [header], b"")
