--- a/tests/adapter/_fragile.py
+++ b/tests/adapter/_crashing.py
@@ -1,14 +1,14 @@
-"""Stand-in of a target that ends under a marked request."""
+"""Stand-in for a target that crashes when it runs a marked request."""
 
 import gevent
 
 from ._standins import HostedTarget, target_row
 
 
-class FragileTarget:
-    """A target that ends when it begins to run a marked request, and is back later.
+class CrashingTarget:
+    """A target that crashes as it begins to run a marked request, and restarts later.
 
-    Each start has a name and a row of its own, as targets of the platform have.
+    Each start has its own name and row, as targets of the platform do.
     """
 
     MARK = "poison"
@@ -18,14 +18,14 @@
         self.store = store
         self.name = name
         self.service = service
-        self.ends = 0
+        self.crashes = 0
         self.ran = []
         self._starts = 0
         self._port = 0
         self._timer = None
-        self._begin()
+        self._start()
 
-    def _begin(self):
+    def _start(self):
         self._starts += 1
         name = f"{self.name}-{self._starts}"
         self._target = HostedTarget(name, self._behave, port=self._port)
@@ -37,17 +37,17 @@
         self.ran.append(path)
         if self.MARK not in path and self.MARK.encode() not in body[:100]:
             return
-        self.ends += 1
-        self._target.end()
-        self._timer = gevent.spawn_later(self.DOWN_S, self._return)
+        self.crashes += 1
+        self._target.crash()
+        self._timer = gevent.spawn_later(self.DOWN_S, self._restart)
         raise ConnectionAbortedError
 
-    def _return(self):
+    def _restart(self):
         self.store.drop("servers", self._target.name)
-        self._begin()
+        self._start()
 
-    def announce(self):
-        """Write the row again, and remove those of earlier starts, as after a drill."""
+    def register(self):
+        """Write the row again and remove those of earlier starts, after a restore."""
         for start in range(1, self._starts):
             self.store.drop("servers", f"{self.name}-{start}")
         row = target_row(self._port, self.service)
--- a/tests/adapter/_limited.py
+++ b/tests/adapter/_limited.py
@@ -1,4 +1,4 @@
-"""Stand-in of a target that names a limit, and counts what it gets in each window."""
+"""Stand-in for a target that names a request limit and records arrivals."""
 
 import time
 
@@ -6,17 +6,18 @@
 
 from ._standins import HostedTarget, target_row
 
-# The contract: requests in any such window are at most so many times what the limit
-# allows, and some more, from so many seconds after it was first named.
+# The contract: in any window of WINDOW_S seconds, a target gets at most EXCESS times
+# the requests that its limit allows, plus SLACK. It applies from LIMIT_DELAY_S seconds
+# after the limit was first named.
 WINDOW_S = 4.0
 EXCESS = 1.5
 SLACK = 5
-CONTACT_S = 3.0
-RUN_S = 0.02
+LIMIT_DELAY_S = 3.0
+SERVICE_TIME_S = 0.02
 
 
-def fullest_window(arrivals, seconds=WINDOW_S):
-    """Give the most arrivals in any window of that length."""
+def max_per_window(arrivals, seconds=WINDOW_S):
+    """Return the maximum number of arrivals in any window of this length."""
     fullest = first = 0
     for last, at in enumerate(arrivals):
         while arrivals[first] <= at - seconds:
@@ -25,20 +26,29 @@
     return fullest
 
 
-def allowed(limit, seconds=WINDOW_S):
-    """Give the requests that a window may hold."""
+def max_allowed(limit, seconds=WINDOW_S):
+    """Return the maximum number of requests that the contract allows in a window."""
     return EXCESS * limit * seconds + SLACK
 
 
 class LimitedTarget:
-    """A target that may name a limit in its answers.
+    """A target that can name a limit in its answers.
 
     Parameters
     ----------
     store : StoreStandin
-        Gets its row.
+        Store that receives the row of the target.
     name : str
-        Its name.
+        Name of the target.
+    service : str, optional
+        Service of the target.
+
+    Attributes
+    ----------
+    limit : float or None
+        Limit in requests per second; None for no limit.
+    arrivals : list of float
+        Times of all requests.
     """
 
     HEADER = "Cairnferry-Server-Limit"
@@ -49,8 +59,8 @@
         self._target = HostedTarget(name, self._behave)
         store.put("servers", name, target_row(self._target.port, service))
 
-    def name_limit(self, limit):
-        """Name a limit from now on; None lifts it. Give the time."""
+    def set_limit(self, limit):
+        """Name a limit from now on, or lift it with None; return the current time."""
         self.limit = limit
         return time.monotonic()
 
@@ -59,7 +69,7 @@
 
     def _behave(self, number):
         self.arrivals.append(time.monotonic())
-        gevent.sleep(RUN_S)
+        gevent.sleep(SERVICE_TIME_S)
         if self.limit is None:
             return None
         return self._target.answer(
--- a/tests/adapter/_processes.py
+++ b/tests/adapter/_processes.py
@@ -1,4 +1,4 @@
-"""Daemons of the adapter, each a process of its own, and callers of them."""
+"""Daemons of the adapter, each in a process of its own, and clients for them."""
 
 import contextlib
 import json
@@ -6,7 +6,7 @@
 import subprocess
 import sys
 
-from cairnferry.standins import own_host, wait_for
+from cairnferry.standins import unique_loopback_host, wait_for
 from cairnferry.wire import Client, Reply
 from hosting._settings import read_host_settings
 
@@ -14,12 +14,12 @@
 from .test_process import ROOT
 
 METRICS_PORT = 9464
-ROUNDS = "cairnferry_peer_rounds_total"
-ALIVE = 'cairnferry_members{state="alive"}'
+ROUNDS_METRIC = "cairnferry_peer_rounds_total"
+ALIVE_METRIC = 'cairnferry_members{state="alive"}'
 
 
-class Process:
-    """One daemon in a process, and a caller of it."""
+class DaemonProcess:
+    """A daemon in a process, with a client for it."""
 
     def __init__(self, folder, host, text):
         self.folder = folder
@@ -53,7 +53,7 @@
         finally:
             client.close()
 
-    def answers(self, path):
+    def serves(self, path):
         reply = self.call(path)
         return isinstance(reply, Reply) and reply.status == 200
 
@@ -71,37 +71,37 @@
         found = [json.loads(line) for line in lines if line.startswith("{")]
         return [line for line in found if line["message"] == message]
 
-    def end(self):
+    def kill(self):
         self.process.kill()
         self.process.wait()
 
-    def start_again(self):
-        """Start as after a loss of power: nothing is kept."""
-        return Process(self.folder, self.host, self.text)
+    def restart(self):
+        """Start the daemon again as after a power failure: no state is kept."""
+        return DaemonProcess(self.folder, self.host, self.text)
 
 
 @contextlib.contextmanager
 def running_fleet(store_port, zones, folder, changes=()):
-    """Start a daemon for each zone that is given; they know each other, and serve.
+    """Start a daemon per zone; wait until all serve and see each other as members.
 
-    `changes` are pairs of lines of the settings: the usual one, and what replaces it.
+    `changes` are pairs of settings lines: the default line and its replacement.
     """
     started = []
     seeds = []
     try:
         for number, zone in enumerate(zones):
-            host = own_host(number + 1)
+            host = unique_loopback_host(number + 1)
             text = settings_text(store_port, f"front-{number}", seeds, host)
             for line, changed in [("zone=hall", f"zone={zone}"), *changes]:
                 text = text.replace(line, changed)
-            process = Process(folder, host, text)
+            process = DaemonProcess(folder, host, text)
             seeds = seeds or [process.cfg.handover]
             started.append(process)
         for process in started:
-            wait_for(lambda each=process: each.answers("/a/first"))
+            wait_for(lambda each=process: each.serves("/a/first"))
         for process in started:
-            wait_for(lambda each=process: each.metric(ALIVE) == len(zones))
+            wait_for(lambda each=process: each.metric(ALIVE_METRIC) == len(zones))
         yield started
     finally:
         for process in started:
-            process.end()
+            process.kill()
--- a/tests/adapter/_noting.py
+++ b/tests/adapter/_recording.py
@@ -1,4 +1,4 @@
-"""Targets that note which daemon called them when, and callers of these daemons."""
+"""Stand-ins for targets that record requests by daemon, and callers of daemons."""
 
 import time
 
@@ -7,32 +7,32 @@
 from ._standins import HostedTarget, target_row
 
 
-class NotingTarget:
-    """A target that notes who calls it, and says what it is told to.
+class RecordingTarget:
+    """A target that records which daemon sent each request, and answers as set.
 
     Parameters
     ----------
     store : StoreStandin
-        Gets its row.
+        Store that receives the row of the target.
     name : str
-        Its name.
+        Name of the target.
 
     Attributes
     ----------
     status : str
-        Status line of its answers; one that is no success is not run.
+        Status line of its answers; a request without a successful status is not run.
     extra : str or None
-        A header of its answers that says something of itself.
-    arrivals, told : list of (float, str)
-        Times of requests and the daemons that sent them: of all, and of those whose
-        answers had the header.
+        Header line with an advisory that each answer has.
+    arrivals, advised : list of (float, str)
+        Time and sending daemon of each request, and of each request whose answer had
+        the `extra` header.
     """
 
     def __init__(self, store, name):
         self.status = "200 OK"
         self.extra = None
         self.arrivals = []
-        self.told = []
+        self.advised = []
         self._target = HostedTarget(name, self._behave)
         store.put("servers", name, self.row())
 
@@ -46,58 +46,58 @@
         self.arrivals.append(arrival)
         if self.extra is None:
             return None
-        self.told.append(arrival)
+        self.advised.append(arrival)
         is_good = self.status.startswith("200")
         not_run = [] if is_good else ["Cairnferry-Not-Executed: 1"]
         return self._target.answer(
             "{id}", b"", self.status, proof=is_good, extra=[self.extra, *not_run]
         )
 
-    def has_told(self, daemons):
-        """Tell whether so many daemons have had an answer with the header."""
-        return len({daemon for _, daemon in self.told}) == daemons
+    def has_advised(self, daemons):
+        """Return whether this number of daemons got an answer with the header."""
+        return len({daemon for _, daemon in self.advised}) == daemons
 
-    def late(self, since_s, to_s):
-        """Count, for each answer with the header, what its daemon sent after it.
+    def count_late(self, since_s, to_s):
+        """Count the requests of a daemon after each answer with the header.
 
         Parameters
         ----------
         since_s, to_s : float
-            Seconds after that answer from and up to which requests are counted.
+            Start and end of the counted period, in seconds after the answer.
         """
         return [
             sum(
-                told + since_s <= at < told + to_s and who == daemon
+                advised_at + since_s <= at < advised_at + to_s and who == daemon
                 for at, who in self.arrivals
             )
-            for told, daemon in self.told
+            for advised_at, daemon in self.advised
         ]
 
     def stop(self):
         self._target.stop()
 
 
-def noting_targets(store, count):
-    """Give targets, and stop them in the end; a generator for fixtures."""
-    targets = [NotingTarget(store, f"i-{number}") for number in range(count)]
+def recording_targets(store, count):
+    """Yield targets and stop them afterwards; a generator for fixtures."""
+    targets = [RecordingTarget(store, f"i-{number}") for number in range(count)]
     yield targets
     for target in targets:
         target.stop()
 
 
-def callers_of(fleet, each, answers):
-    """Let callers call each daemon for ever; give their tasks.
+def start_callers(fleet, each, answers):
+    """Start `each` callers per daemon that call it without end; return their tasks.
 
-    `answers` gets the time, the status and the reply of each call.
+    The time, the status and the reply of each call are appended to `answers`.
     """
     return [
-        gevent.spawn(_call_for_ever, process, f"d{index}", answers)
+        gevent.spawn(_call_repeatedly, process, f"d{index}", answers)
         for index, process in enumerate(fleet)
         for _ in range(each)
     ]
 
 
-def _call_for_ever(process, name, answers):
+def _call_repeatedly(process, name, answers):
     number = 0
     while True:
         number += 1
--- a/tests/adapter/_standins.py
+++ b/tests/adapter/_standins.py
@@ -1,4 +1,4 @@
-"""Small stand-ins of the platform's store and of its targets, by their protocol."""
+"""Small stand-ins for the platform's store and its targets."""
 
 import base64
 import collections
@@ -14,7 +14,7 @@
 from gevent.server import StreamServer
 
 HOST = "127.0.0.1"
-PAGE = 3
+PAGE_ROWS = 3
 
 
 @attrs.define(eq=False)
@@ -24,14 +24,15 @@
 
 
 class StoreStandin:
-    """Rows by table and key, one version counter, and faults by call.
+    """Store with rows by table and key, one version counter, and faults by call.
 
-    `faults` maps a path to the faults of its next calls: a status, or one of
-    "lost" (done, the connection ends), "cut" (not done, the connection ends), "slow"
-    (answered once `resume` is set) and "words" (an answer that is no JSON).
+    `faults` maps a path to the faults of its next calls: a status, or one of "lost"
+    (done, but the connection is closed), "cut" (not done, the connection is closed),
+    "slow" (answered once `resume` is set) and "words" (an answer that is not JSON).
+    `down` is a fault of all calls.
 
-    `copy` and `come_back` are a drill: the store comes back from a copy of itself, and
-    names its era in each answer from then on.
+    `copy` and `restore` simulate a recovery drill: the store is restored from a copy of
+    itself, and names its era in each answer from then on.
     """
 
     ERA_HEADER = "Cairnferry-Store-Era"
@@ -65,20 +66,20 @@
     def drop(self, table, key):
         self._write(table, key, None)
 
-    def forget_history(self):
-        """Drop the history: older versions can't be followed any more."""
+    def drop_history(self):
+        """Drop the history, so that changes after older versions are not available."""
         self.floor = self.ver
 
     def copy(self):
-        """Give a copy of all that there is."""
+        """Return a copy of all rows and of the version counter."""
         rows = {
             table: {key: attrs.evolve(row) for key, row in by_key.items()}
             for table, by_key in self.rows.items()
         }
         return rows, self.ver
 
-    def come_back(self, copy):
-        """Come back from a copy: what was written since is gone, also its versions."""
+    def restore(self, copy):
+        """Restore a copy: later writes and their versions are gone."""
         rows, self.ver = copy
         self.rows = collections.defaultdict(dict, rows)
         self.era = (self.era or 0) + 1
@@ -110,7 +111,7 @@
             return [b"words"]
         status, document = self._answer(path, query, body)
         if fault == "lost" or era != self.era:
-            # Of a call that waits as the store goes away, nothing is heard.
+            # A call that was waiting during the restore gets no answer.
             raise ConnectionAbortedError
         if fault == "slow":
             self.resume.wait()
@@ -142,8 +143,8 @@
             for key, row in self.rows[table].items()
             if row.value is not None and key >= start
         )
-        rows = [self._row(table, key) for key in keys[:PAGE]]
-        return {"rows": rows, "has_more": len(keys) > PAGE, **self._stamp()}
+        rows = [self._row(table, key) for key in keys[:PAGE_ROWS]]
+        return {"rows": rows, "has_more": len(keys) > PAGE_ROWS, **self._stamp()}
 
     def _feed(self, query):
         after = int(query["after"])
@@ -165,10 +166,10 @@
             changed.wait(left)
 
     def _transact(self, document):
-        for wanted in document["precondition"]:
-            row = self.rows[wanted["table"]].get(wanted["key"])
-            if (row.ver if row and row.value is not None else 0) != wanted["ver"]:
-                rows = [self._row(wanted["table"], wanted["key"])] if row else []
+        for condition in document["precondition"]:
+            row = self.rows[condition["table"]].get(condition["key"])
+            if (row.ver if row and row.value is not None else 0) != condition["ver"]:
+                rows = [self._row(condition["table"], condition["key"])] if row else []
                 return 412, {"rows": rows, **self._stamp()}
         for entry in document["set_keys"]:
             value = base64.b64decode(entry["value"])
@@ -189,10 +190,10 @@
 
 
 class HostedTarget:
-    """A target that answers as its behaviour says and notes what it ran.
+    """A target with configurable answers that records the requests it ran.
 
-    `behave` is called with the number of the request and gives the bytes to send
-    (None: the usual answer), or an Event to wait for before the usual answer.
+    `behave` is called with the number of the request. It returns the bytes to send,
+    None for the default answer, or an Event to wait for before the default answer.
     """
 
     def __init__(self, name="i-1", behave=None, load="1,0,4,100", port=0):
@@ -213,8 +214,8 @@
     def stop(self):
         self._server.stop(timeout=0)
 
-    def end(self):
-        """End as a process does: its port and its connections are closed at once."""
+    def crash(self):
+        """Close the port and all connections at once, as a process that crashes."""
         self.stop()
         for sock in list(self._socks):
             sock.shutdown(socket.SHUT_RDWR)
@@ -223,7 +224,7 @@
         file = sock.makefile("rb")
         self._socks.add(sock)
         try:
-            while self._one(sock, file):
+            while self._serve_request(sock, file):
                 pass
         except OSError:
             pass
@@ -232,7 +233,7 @@
             file.close()
             sock.close()
 
-    def _one(self, sock, file):
+    def _serve_request(self, sock, file):
         line = file.readline()
         if not line:
             return False
@@ -245,15 +246,15 @@
         if path == "/health":
             sock.sendall(self.answer(None, load=True, instance=True))
             return True
-        wanted = headers.get("cairnferry-target-instance")
-        if wanted not in (None, self.name):
+        expected_name = headers.get("cairnferry-target-instance")
+        if expected_name not in (None, self.name):
             sock.sendall(self.answer(None, status="421 Misdirected", instance=True))
             return True
         self.seen.append((method, path, headers, body))
         self.arrived.set()
         found = self.behave(len(self.seen))
         if isinstance(found, Event):
-            self._hold(sock, found)
+            self._wait_for(sock, found)
             found = None
         request_id = headers["cairnferry-request-id"]
         if found is None:
@@ -261,8 +262,8 @@
         sock.sendall(found.replace(b"{id}", request_id.encode()))
         return b"Connection: close" not in found
 
-    def _hold(self, sock, event):
-        """Wait for the event, or for the caller to go away."""
+    def _wait_for(self, sock, event):
+        """Wait for the event, or until the client disconnects."""
         watch = gevent.spawn(sock.recv, 1)
         gevent.wait([watch, event], count=1)
         if watch.ready():
@@ -293,7 +294,7 @@
 
 
 def configuration(version=3, *, rules=None, clusters=("svc",), **limits):
-    """Give a configuration document as the operators write it."""
+    """Return a configuration document as operators write it."""
     return {
         "version": f"r{version}",
         "limits": {
--- a/tests/adapter/conftest.py
+++ b/tests/adapter/conftest.py
@@ -1,4 +1,4 @@
-"""The adapter with stand-ins of its platform, in this process."""
+"""Fixtures that run the adapter in this process, with stand-ins for its platform."""
 
 import json
 import time
@@ -58,8 +58,8 @@
 
 
 @pytest.fixture(autouse=True)
-def patient_checks(monkeypatch):
-    """Let a round of checks end by its answers, not by time."""
+def long_answer_wait(monkeypatch):
+    """Let status checks wait for all answers, also on a busy machine."""
     monkeypatch.setattr(_status_checks, "ANSWER_WAIT_S", 10.0)
 
 
@@ -93,7 +93,7 @@
 
 
 class HostedDaemon:
-    """A daemon of the adapter whose tasks run in this process."""
+    """A daemon of the adapter that runs in this process."""
 
     def __init__(self, store_port, name, seeds):
         self.cfg = read_host_settings(settings_text(store_port, name, seeds)).ok
@@ -102,7 +102,7 @@
         self.core.start(self.built.tasks)
 
     def call(self, path="/a/x", method="GET", host="shop.example", **options):
-        """Send a request as a caller does."""
+        """Send a request to the daemon as a caller."""
         headers = [
             ("Cairnferry-Request-Id", options.pop("request_id", "req-1")),
             ("Cairnferry-Deadline-Ms", str(options.pop("deadline_ms", 20_000))),
@@ -111,8 +111,8 @@
         client = Client(HOST, self.cfg.callers.port, host_name=host)
         return client.call(method, path, timeout=30, headers=headers, **options)
 
-    def earn_repeats(self, service="svc", requests=10):
-        """Let requests come that earn repeats; a daemon that starts has none."""
+    def earn_retries(self, service="svc", requests=10):
+        """Add requests that earn retries; a daemon has no retry budget at its start."""
         policy = self.core.services.runtime(service).policy
         now = time.monotonic()
         for _ in range(requests):
@@ -143,14 +143,14 @@
 
 @pytest.fixture
 def daemon(store, start_daemon):
-    """Give a daemon with one route to the service "svc"."""
+    """Return a daemon with one route to the service "svc"."""
     store.put("op", "config", configuration())
     return start_daemon()
 
 
 @pytest.fixture
-def knows():
-    """Wait until a daemon knows exactly these targets."""
+def wait_for_targets():
+    """Return a function that waits until a daemon has exactly these targets."""
 
     def wait(daemon, *names):
         wait_for(lambda: {t.name for t in daemon.core.services.targets()} == set(names))
--- a/tests/adapter/test_cold_targets.py
+++ b/tests/adapter/test_cold_targets.py
@@ -1,4 +1,4 @@
-"""What targets, rows and rules say of targets that are cold."""
+"""Warm-up of targets, as status checks, rows and rules describe it."""
 
 import json
 
@@ -8,7 +8,7 @@
 from cairnferry.wire import Reply
 from hosting._configuration import ConfigurationDecoder
 from hosting._settings import read_host_settings
-from hosting._targets import HostedTargets
+from hosting._targets import HostedTargetConvention
 
 from ._standins import configuration, target_row
 from .conftest import settings_text
@@ -23,7 +23,7 @@
 CLUSTER = {"name": "svc", "health_path": "/health"}
 
 
-def test_the_rate_of_cold_targets_is_in_the_rules():
+def test_rules_contain_warm_up_rate_of_cold_targets():
     (service,) = decoded([CLUSTER | {"warmup_per_s": 3.1}]).ok.services
     assert service.warmup_per_s == 3.1
     (service,) = decoded([CLUSTER]).ok.services
@@ -31,7 +31,7 @@
 
 
 @pytest.mark.parametrize("rate", ["3.1", -1, None, True])
-def test_a_rate_that_is_no_number_is_a_fault(rate):
+def test_non_numeric_warm_up_rate_is_rejected(rate):
     assert "warmup_per_s" in str(decoded([CLUSTER | {"warmup_per_s": rate}]).error)
 
 
@@ -39,20 +39,18 @@
     ("text", "seconds"),
     [("2500", 2.5), ("0", 0.0), (" 12.5 ", 0.0125), ("soon", None), (None, None)],
 )
-def test_a_check_says_how_long_a_target_stays_cold(text, seconds):
+def test_status_check_reports_remaining_warm_up(text, seconds):
     headers = [] if text is None else [("Cairnferry-Warmup-Ms", text)]
 
     class Target:
         name = "i-1"
 
-    result = HostedTargets().read_check(Reply(200, headers, b""), Target())
+    result = HostedTargetConvention().read_check(Reply(200, headers, b""), Target())
     assert result.warmup_s == seconds
 
 
-def test_a_row_that_says_so_makes_a_target_cold_until_its_time_is_over(
-    store, start_daemon
-):
-    """Guards against a target that starts cold and is sent as much as a warm one."""
+def test_row_with_warm_up_time_makes_target_cold(store, start_daemon):
+    """Guards against a cold target that gets as many requests as a warm one."""
     clusters = [CLUSTER | {"warmup_per_s": 3.1}]
     store.put("op", "config", configuration(5) | {"clusters": clusters})
     store.put("servers", "i-1", target_row(1, warmup_left="60s"))
@@ -62,7 +60,7 @@
     assert cold.get("i-1").per_s == 3.1
     store.put("servers", "i-1", target_row(1, warmup_left="0ms", sequence=9))
     wait_for(lambda: daemon.core.services.targets()[0].warmup_s == 0)
-    # The row may be older than what is known: it does not make the target warm.
+    # A row may be out of date, so it does not end the warm-up; a status check does.
     assert cold.get("i-1")
     daemon.core.limiter.cold.note_check(
         daemon.core.services.targets()[0],
--- a/tests/adapter/test_documents.py
+++ b/tests/adapter/test_documents.py
@@ -1,4 +1,4 @@
-"""Texts, settings, configuration and rows of targets."""
+"""Decoding of values, settings, configuration documents and rows of targets."""
 
 import json
 
@@ -32,18 +32,18 @@
 @pytest.mark.parametrize(
     ("text", "seconds"), [("1500ms", 1.5), ("2.5s", 2.5), ("0ms", 0), ("30s", 30)]
 )
-def test_times_are_read_with_their_unit(text, seconds):
+def test_durations_are_read_with_unit(text, seconds):
     assert read_seconds(text) == seconds
     assert read_milliseconds(text) == seconds * 1000
 
 
 @pytest.mark.parametrize("text", ["", "5", "5m", "-1s", "ms", "1e3ms", " 1s", 5, None])
-def test_what_is_no_time_is_a_fault(text):
-    with pytest.raises(ValueError, match="is no time"):
+def test_malformed_duration_is_rejected(text):
+    with pytest.raises(ValueError, match="is not a duration"):
         read_seconds(text)
 
 
-def test_times_are_written_with_their_unit():
+def test_durations_are_written_with_unit():
     assert read_seconds(write_seconds(1.0)) == 1.0
 
 
@@ -64,14 +64,14 @@
 @pytest.mark.parametrize(
     "text", ["", " 1", "1 ", "1_000", "x", "nan", "inf", "1e999", "-1", "0x10", 5, None]
 )
-def test_what_is_no_number_is_a_fault(text):
-    with pytest.raises(ValueError, match="is no number|is out of range"):
+def test_malformed_number_is_rejected(text):
+    with pytest.raises(ValueError, match="is not a number|is out of range"):
         read_number(text)
 
 
 @pytest.mark.parametrize("text", ["12", "r", "r-1", "R1", "r1.5", 12, None])
-def test_what_is_no_version_is_a_fault(text):
-    with pytest.raises(ValueError, match="is no version"):
+def test_malformed_version_is_rejected(text):
+    with pytest.raises(ValueError, match="is not a version"):
         read_version(text)
 
 
@@ -82,7 +82,7 @@
 # -- settings ---------------------------------------------------------------------
 
 
-def test_settings_are_read_and_new_fields_passed_over():
+def test_settings_are_read_and_unknown_fields_ignored():
     cfg = read_host_settings(settings_text(4711)).ok
     assert cfg.name == "front-1"
     assert cfg.store.port == 4711
@@ -90,7 +90,7 @@
     assert cfg.retry_slack == 64
 
 
-def test_every_missing_or_wrong_setting_is_named():
+def test_every_missing_or_malformed_setting_is_reported():
     text = settings_text(1).replace("bounds.grace=6s", "bounds.grace=soon")
     text = text.replace("zone=hall", "zone=")
     faults = read_host_settings(text).error
@@ -108,15 +108,15 @@
 
 @pytest.mark.parametrize(("key", "value"), NUMBERS.items())
 @pytest.mark.parametrize("odd", ["22.933333333333334", "7.5e1", "+80.0", "99999999999"])
-def test_any_number_may_have_a_fraction(key, value, odd):
-    """Guards against a daemon that does not start by a bound such as 22.93."""
+def test_numeric_settings_accept_fractions(key, value, odd):
+    """Guards against a daemon that does not start with a bound such as 22.93."""
     text = settings_text(1).replace(f"{key}={value}", f"{key}={odd}")
     assert read_host_settings(text).is_ok()
 
 
 @pytest.mark.parametrize(("key", "value"), NUMBERS.items())
 @pytest.mark.parametrize("wrong", ["-1", "many", "nan", "1e999"])
-def test_a_number_that_is_none_is_named_with_its_value(key, value, wrong):
+def test_malformed_numeric_setting_is_reported_with_its_value(key, value, wrong):
     text = settings_text(1).replace(f"{key}={value}", f"{key}={wrong}")
     (fault,) = read_host_settings(text).error
     assert fault.key == key
@@ -126,7 +126,7 @@
 # -- configuration ------------------------------------------------------------------
 
 
-def test_a_configuration_becomes_rules(decode):
+def test_configuration_is_decoded_into_rules(decode):
     parts = [{"service": "svc", "weight": 90}, {"service": "two", "weight": 10}]
     rules = [
         rule(kind="unsafe", attempts=3),
@@ -151,7 +151,7 @@
     assert decoded.limits.idle_s == 15.0
 
 
-def test_fields_that_are_not_known_are_passed_over(decode):
+def test_unknown_fields_are_ignored(decode):
     document = configuration() | {"later": {"x": 1}}
     document["listeners"][0]["rules"][0]["later"] = 1
     assert decode(document).is_ok()
@@ -182,12 +182,12 @@
         configuration(rules=[rule(timeout="5")]),
     ],
 )
-def test_a_malformed_configuration_is_a_fault_that_says_where(decode, document):
+def test_malformed_configuration_is_rejected_with_reason(decode, document):
     fault = decode(document).error
     assert str(fault)
 
 
-def test_bytes_that_are_no_document_are_a_fault():
+def test_invalid_json_is_rejected():
     cfg = read_host_settings(settings_text(1)).ok
     assert ConfigurationDecoder(cfg).decode(b'{"version":').is_error()
     assert ConfigurationDecoder(cfg).decode(b"\xff").is_error()
@@ -200,7 +200,7 @@
     return json.dumps(target_row(8080, **more)).encode()
 
 
-def test_a_row_becomes_a_target():
+def test_row_is_decoded_into_target():
     target = decode_target("i-7", row(state="draining", warmup_left="2.5s")).ok
     assert (target.name, target.service, target.zone) == ("i-7", "svc", "hall")
     assert target.address == ("127.0.0.1", 8080)
@@ -220,24 +220,24 @@
         row(warmup_left="soon"),
     ],
 )
-def test_a_malformed_row_is_a_fault_that_names_the_target(data):
+def test_malformed_row_is_rejected_with_name_of_target(data):
     assert "i-7" in str(decode_target("i-7", data).error)
 
 
 @pytest.mark.parametrize(("slots", "read"), [(2.0, 2), (2.5, 2), (0.5, 1), (1e3, 1000)])
-def test_slots_are_whole_whatever_form_the_number_has(slots, read):
+def test_fractional_slots_are_rounded_down(slots, read):
     row = target_row(8080, max_concurrency=slots)
     assert decode_target("i-1", json.dumps(row).encode()).ok.slots == read
 
 
 @pytest.mark.parametrize("slots", [-1, float("inf"), float("nan"), "2", None, True])
-def test_slots_that_are_no_number_are_a_fault(slots):
+def test_malformed_slots_are_rejected(slots):
     row = target_row(8080, max_concurrency=slots)
     fault = decode_target("i-1", json.dumps(row).encode()).error
     assert "max_concurrency" in str(fault)
 
 
-def test_weights_may_have_a_fraction(decode):
+def test_weights_accept_fractions(decode):
     parts = [{"service": "svc", "weight": 90.5}, {"service": "svc", "weight": 9.5}]
     rules = [rule(backends=parts)]
     (route,) = decode(configuration(5, rules=rules)).ok.routes
--- a/tests/adapter/test_eras.py
+++ b/tests/adapter/test_eras.py
@@ -1,9 +1,9 @@
-"""A store that comes back from a copy of itself some seconds old.
+"""A store that is restored from a copy of itself that is some seconds old.
 
-What was written since the copy is gone, and its versions are given out again. A daemon
-that waits for changes after version 500 of what was lost hears of nothing that is
-written up to 500 in the new era, and is told of no loss if the store has gone past 500
-by then: it serves by old rules and old targets, and takes itself for up to date.
+Writes since the copy are lost, and the store issues their versions again. A daemon that
+waits for changes after version 500 then misses the writes up to version 500 of the new
+era. If the store has passed 500 by then, it reports no lost history, so the daemon
+serves old rules and targets and takes them for current.
 """
 
 import time
@@ -22,80 +22,80 @@
 OTHER_RULE = [rule(name="r-2", prefix="/b/")]
 
 
-def write_past(store, version):
-    """Let others write until the store has given out a version once more."""
+def advance_version(store, version):
+    """Write rows until the store has issued a version again."""
     while store.ver <= version:
         store.put("another", "key", {"number": store.ver})
 
 
-def names(daemon):
+def target_names(daemon):
     return {target.name for target in daemon.core.services.targets()}
 
 
 @pytest.fixture
-def started(store, start_target, daemon, knows):
-    """Give a daemon with a target that has been there before any copy."""
+def started(store, start_target, daemon, wait_for_targets):
+    """Return a daemon and a target that is stored before any copy is made."""
     target = start_target("i-1")
-    knows(daemon, "i-1")
+    wait_for_targets(daemon, "i-1")
     return daemon, target
 
 
-def test_changes_are_heard_although_the_store_has_written_past_what_was_known(
+def test_changes_are_received_after_restored_store_passed_known_version(
     started, store, start_target
 ):
-    """No call gets 410: the version that the daemon waits from is there again."""
+    """The version that the daemon waits from exists again, so no call gets 410."""
     daemon, _ = started
     copy = store.copy()
     for number in range(20):
         store.put("servers", "i-1", target_row(number + 1, sequence=number))
     known = store.ver
     wait_for(lambda: daemon.core.services.targets()[0].port == 20)
-    store.come_back(copy)
+    store.restore(copy)
     start_target("i-2")
-    write_past(store, known)
-    wait_for(lambda: "i-2" in names(daemon))
+    advance_version(store, known)
+    wait_for(lambda: "i-2" in target_names(daemon))
     assert store.calls["/api/rows-get"] > 0
 
 
-def test_rules_in_force_never_go_back(started, store):
+def test_rules_in_force_are_never_replaced_by_older_ones(started, store):
     daemon, _ = started
     copy = store.copy()
     store.put("op", "config", configuration(version=8, rules=OTHER_RULE))
     wait_for(lambda: daemon.core.services.revision == 8)
-    store.come_back(copy)
+    store.restore(copy)
     wait_for(lambda: daemon.core.metrics.store_era == 1)
-    write_past(store, store.ver + 5)
+    advance_version(store, store.ver + 5)
     assert daemon.core.services.revision == 8
     assert daemon.call("/b/x").status == 200
-    # The operator writes its newest again, and then a further one.
+    # The operator writes the latest revision again, and then a newer one.
     store.put("op", "config", configuration(version=8, rules=OTHER_RULE))
     store.put("op", "config", configuration(version=9))
     wait_for(lambda: daemon.core.services.revision == 9)
 
 
-def test_targets_that_the_copy_lacks_are_used_until_they_are_back_or_gone(
-    started, store, start_target, knows
+def test_targets_missing_in_copy_are_used_until_grace_period_ends(
+    started, store, start_target, wait_for_targets
 ):
     daemon, _ = started
     copy = store.copy()
     returns = start_target("i-2")
     start_target("i-3")
-    knows(daemon, "i-1", "i-2", "i-3")
-    store.come_back(copy)
+    wait_for_targets(daemon, "i-1", "i-2", "i-3")
+    store.restore(copy)
     wait_for(lambda: daemon.core.metrics.store_era == 1)
-    assert names(daemon) == {"i-1", "i-2", "i-3"}
+    assert target_names(daemon) == {"i-1", "i-2", "i-3"}
     store.put("servers", "i-2", target_row(returns.port))
-    knows(daemon, "i-1", "i-2")
+    wait_for_targets(daemon, "i-1", "i-2")
 
 
-def test_what_was_removed_or_leaving_does_not_come_back_into_use(
-    started, store, start_target, knows
+def test_removed_or_draining_target_is_not_used_again_after_restore(
+    started, store, start_target, wait_for_targets
 ):
-    """Symptom: requests reach targets that left before the drill."""
+    """Guards against requests to targets that left before the store was restored."""
     daemon, _ = started
     start_target("i-2")
     leaving = start_target("i-3")
-    knows(daemon, "i-1", "i-2", "i-3")
+    wait_for_targets(daemon, "i-1", "i-2", "i-3")
     copy = store.copy()
     store.drop("servers", "i-2")
     store.put("servers", "i-3", target_row(leaving.port, state="draining"))
@@ -104,35 +104,35 @@
         (found,) = [t for t in daemon.core.services.targets() if t.name == "i-3"]
         return found.lifecycle.name == "DRAINING"
 
-    knows(daemon, "i-1", "i-3")
+    wait_for_targets(daemon, "i-1", "i-3")
     wait_for(is_draining)
-    store.come_back(copy)
+    store.restore(copy)
     wait_for(lambda: era_of(daemon.core.cluster.tables["targets"].copy.version) == 1)
-    assert names(daemon) == {"i-1", "i-3"}
+    assert target_names(daemon) == {"i-1", "i-3"}
     assert is_draining()
-    # Who left writes that again.
+    # The leaving targets write their state again.
     store.drop("servers", "i-2")
     store.put("servers", "i-3", target_row(leaving.port, state="draining", sequence=9))
-    write_past(store, store.ver + 3)
+    advance_version(store, store.ver + 3)
     wait_for(lambda: not daemon.core.cluster.tables["targets"].grace_left)
-    assert names(daemon) == {"i-1", "i-3"}
+    assert target_names(daemon) == {"i-1", "i-3"}
     assert is_draining()
 
 
-def test_a_daemon_hears_of_the_era_from_another_one(store, start_daemon, start_target):
-    """One that is refused by the store follows the others into the new era."""
+def test_daemons_follow_store_into_new_era(store, start_daemon, start_target):
+    """A daemon observes the new era at the store or at another daemon."""
     store.put("op", "config", configuration())
     first = start_daemon("front-1")
     second = start_daemon("front-2", seeds=[first.cfg.handover])
     target = start_target("i-1")
     for daemon in (first, second):
-        wait_for(lambda each=daemon: names(each) == {"i-1"})
+        wait_for(lambda each=daemon: target_names(each) == {"i-1"})
     copy = store.copy()
     store.put("servers", "i-1", target_row(target.port, sequence=5))
-    store.come_back(copy)
+    store.restore(copy)
     start_target("i-2")
     for daemon in (first, second):
-        wait_for(lambda each=daemon: "i-2" in names(each))
+        wait_for(lambda each=daemon: "i-2" in target_names(each))
         wait_for(
             lambda each=daemon: (
                 era_of(each.core.cluster.tables["targets"].copy.version) == 1
@@ -140,8 +140,8 @@
         )
 
 
-def test_the_daemons_key_and_rows_are_written_again(store, start_daemon, monkeypatch):
-    """Symptom: daemons that start after the drill make a key of their own."""
+def test_lost_key_and_instance_rows_are_written_again(store, start_daemon, monkeypatch):
+    """Guards against daemons that create another key at a start after a restore."""
     monkeypatch.setattr("cairnferry.entry.members._enrolment.MAINTENANCE_S", 0.2)
     monkeypatch.setattr("cairnferry.entry.members._enrolment.ROW_MISSING_S", 0.5)
     store.put("op", "config", configuration())
@@ -150,18 +150,18 @@
     wait_for(lambda: "front-1" in store.rows[TABLE])
     key = store.rows[TABLE][KEY_ROW.key].value
     wait_for(lambda: daemon.core.cluster.listed)
-    store.come_back(copy)
+    store.restore(copy)
     wait_for(lambda: "front-1" in store.rows[TABLE])
     wait_for(lambda: KEY_ROW.key in store.rows[TABLE])
     assert store.rows[TABLE][KEY_ROW.key].value == key
 
 
-def test_a_block_that_the_store_lost_holds_and_is_written_again(
+def test_block_lost_by_store_stays_in_effect_and_is_written_again(
     store, start_daemon, monkeypatch
 ):
-    """Symptom: a request that ends targets is let through again after the drill.
+    """Guards against a request that crashes targets and is admitted after a restore.
 
-    Its row is gone as if an operator had removed it.
+    The restored store lacks the row of the block, as if an operator had removed it.
     """
     monkeypatch.setattr("cairnferry.entry.callers._guard.ROW_SYNC_S", 0.2)
     store.put("op", "config", configuration())
@@ -179,7 +179,7 @@
 
     wait_for(stored)
     wait_for(lambda: not guard.table.lacks(ref))
-    store.come_back(copy)
+    store.restore(copy)
     assert not stored()
     wait_for(stored)
     assert len(guard.snapshot()) == 1
@@ -188,12 +188,12 @@
 # -- single calls ---------------------------------------------------------------------
 
 
-def test_a_version_is_a_condition_only_in_its_era(client, store):
-    """Symptom: a row is removed that another daemon wrote under the same version."""
+def test_version_of_earlier_era_is_a_conflict(client, store):
+    """Guards against removing a row that another daemon wrote with the same version."""
     ref = RowRef("mine", "row")
     written = client.write({ref: b"first"}, {ref: 0}).ok
     copy = store.copy()
-    store.come_back(copy)
+    store.restore(copy)
     client.rows("mine")
     assert client.era == 1
     removed = client.write({ref: None}, {ref: written})
@@ -203,20 +203,20 @@
     assert client.write({ref: None}, {ref: row.version}).is_ok()
 
 
-def test_a_position_of_an_earlier_era_is_no_position(client, store):
+def test_changes_after_version_of_earlier_era_are_history_lost(client, store):
     before = client.rows("servers").ok.version or 0
     store.put("servers", "i-1", {})
     batch = client.rows("servers").ok
-    store.come_back(store.copy())
+    store.restore(store.copy())
     assert client.changes("servers", batch.version, 0.0).error == HistoryLost()
     assert client.changes("servers", batch.version, 0.0).error == HistoryLost()
     assert before <= batch.version < client.rows("servers").ok.version
 
 
-def test_an_answer_of_an_earlier_era_changes_nothing(client, store):
+def test_answer_of_earlier_era_is_rejected(client, store):
     store.put("servers", "i-1", {})
-    store.come_back(store.copy())
-    store.come_back(store.copy())
+    store.restore(store.copy())
+    store.restore(store.copy())
     assert client.rows("servers").is_ok()
     assert client.era == 2
     store.era = 1
@@ -225,7 +225,7 @@
 
 
 @pytest.mark.parametrize("text", ["", "later", "-1", "1.5", "9" * 30])
-def test_an_era_that_cannot_be_read_is_that_which_is_known(client, store, text):
+def test_malformed_era_leaves_known_era(client, store, text):
     store.put("servers", "i-1", {})
     store.era = 3
     assert client.rows("servers").is_ok()
@@ -234,19 +234,19 @@
     assert client.era == 3
 
 
-def test_pages_of_two_eras_make_no_listing(client, store, monkeypatch):
+def test_listing_with_pages_of_two_eras_is_rejected(client, store, monkeypatch):
     for number in range(5):
         store.put("servers", f"i-{number}", {})
     calls = []
     get = Store._get
 
-    def come_back_between(*args):
+    def restore_between_pages(*args):
         page = get(*args)
         calls.append(args)
         if len(calls) == 1:
-            store.come_back(store.copy())
+            store.restore(store.copy())
         return page
 
-    monkeypatch.setattr(Store, "_get", come_back_between)
+    monkeypatch.setattr(Store, "_get", restore_between_pages)
     assert client.rows("servers").error == HistoryLost()
     assert len(client.rows("servers").ok.items) == 5
--- a/tests/adapter/test_evacuation.py
+++ b/tests/adapter/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Zones that operators evacuate, by rows beside the rules."""
+"""Zones that operators evacuate by rows in the table of the rules."""
 
 import pytest
 
@@ -8,14 +8,14 @@
 
 from ._standins import configuration, target_row
 
-ORDER = "evacuate/hall"
+EVACUATION_KEY = "evacuate/hall"
 
 
 def evacuated(daemon):
     return daemon.core.services.evacuated
 
 
-def wait_until(daemon, *zones):
+def wait_for_evacuated(daemon, *zones):
     wait_for(lambda: evacuated(daemon) == set(zones))
 
 
@@ -30,53 +30,53 @@
         ("other/evacuate/hall", None),
     ],
 )
-def test_the_zone_stands_in_the_key(key, zone):
+def test_evacuated_zone_is_read_from_key(key, zone):
     assert evacuated_zone(key) == zone
 
 
-def test_an_evacuated_zone_gets_nothing_until_it_is_restored(
-    daemon, store, start_target, knows, caplog
+def test_evacuated_zone_gets_no_requests_until_restored(
+    daemon, store, start_target, wait_for_targets, caplog
 ):
     caplog.set_level("INFO")
     target = start_target()
-    knows(daemon, "i-1")
+    wait_for_targets(daemon, "i-1")
     assert daemon.call().status == 200
-    store.put("op", ORDER, {})
-    wait_until(daemon, "hall")
+    store.put("op", EVACUATION_KEY, {})
+    wait_for_evacuated(daemon, "hall")
     reply = daemon.call()
     assert reply.status == 503
     assert float(reply.header("retry-after")) > 0
     assert len(target.seen) == 1
-    store.drop("op", ORDER)
-    wait_until(daemon)
+    store.drop("op", EVACUATION_KEY)
+    wait_for_evacuated(daemon)
     assert daemon.call().status == 200
     assert "zone evacuated" in caplog.text
     assert "zone restored" in caplog.text
 
 
-def test_a_change_of_the_rules_keeps_a_zone_evacuated(daemon, store):
-    store.put("op", ORDER, {})
-    wait_until(daemon, "hall")
+def test_zone_stays_evacuated_when_rules_change(daemon, store):
+    store.put("op", EVACUATION_KEY, {})
+    wait_for_evacuated(daemon, "hall")
     store.put("op", "config", configuration(9))
     wait_for(lambda: daemon.core.services.revision == 9)
     assert evacuated(daemon) == {"hall"}
 
 
-def test_a_zone_that_nobody_knows_is_named_in_the_log(
-    daemon, store, start_target, knows, caplog
+def test_evacuation_of_zone_without_targets_is_logged(
+    daemon, store, start_target, wait_for_targets, caplog
 ):
     start_target()
-    knows(daemon, "i-1")
+    wait_for_targets(daemon, "i-1")
     store.put("op", "evacuate/nowhere", {})
-    wait_until(daemon, "nowhere")
+    wait_for_evacuated(daemon, "nowhere")
     assert "no target in an evacuated zone" in caplog.text
     assert daemon.call().status == 200
 
 
-def test_a_daemon_that_starts_knows_it_before_it_sends(store, start_daemon):
-    """Guards against a restart that forgets an evacuation."""
+def test_starting_daemon_reads_evacuations_before_serving(store, start_daemon):
+    """Guards against a daemon that restarts without the evacuations."""
     store.put("op", "config", configuration())
-    store.put("op", ORDER, {})
+    store.put("op", EVACUATION_KEY, {})
     daemon = start_daemon()
     assert evacuated(daemon) == {"hall"}
 
@@ -84,28 +84,28 @@
 def test_a_daemon_that_starts_in_an_outage_is_told_by_another(
     store, daemon, start_daemon, monkeypatch
 ):
-    """Guards against a restart in an outage that forgets an evacuation."""
-    monkeypatch.setattr(_handover, "PATIENCE_S", 0.01)
+    """Guards against a restart in a store outage that loses the evacuations."""
+    monkeypatch.setattr(_handover, "INITIAL_DELAY_S", 0.01)
     store.put("servers", "i-1", target_row(1))
-    store.put("op", ORDER, {})
-    wait_until(daemon, "hall")
+    store.put("op", EVACUATION_KEY, {})
+    wait_for_evacuated(daemon, "hall")
     wait_for(lambda: daemon.core.services.targets())
     store.down = 503
     other = start_daemon("front-2", seeds=[daemon.cfg.handover])
     assert evacuated(other) == {"hall"}
 
 
-def test_the_store_comes_back_without_the_order(daemon, store):
-    """Guards against a zone that stays evacuated by an order that nobody can undo."""
+def test_zone_is_restored_if_restored_store_lacks_its_row(daemon, store):
+    """Guards against a zone that stays evacuated by a row that no longer exists."""
     copy = store.copy()
-    store.put("op", ORDER, {})
-    wait_until(daemon, "hall")
-    store.come_back(copy)
+    store.put("op", EVACUATION_KEY, {})
+    wait_for_evacuated(daemon, "hall")
+    store.restore(copy)
     store.put("op", "config", configuration(9))
-    wait_until(daemon)
+    wait_for_evacuated(daemon)
 
 
-def test_rows_of_other_sorts_beside_the_rules_are_passed_over(daemon, store):
+def test_other_rows_in_rules_table_are_ignored(daemon, store):
     store.put("op", "notice/hall", {})
-    store.put("op", ORDER, b"\xff no document")
-    wait_until(daemon, "hall")
+    store.put("op", EVACUATION_KEY, b"\xff no document")
+    wait_for_evacuated(daemon, "hall")
--- a/tests/adapter/test_evidence.py
+++ b/tests/adapter/test_evidence.py
@@ -1,4 +1,4 @@
-"""What targets do, what it proves, and what callers are told of it."""
+"""Classification of targets' answers, and the answers that callers get."""
 
 import pytest
 
@@ -6,8 +6,8 @@
 from .conftest import POST, outcome
 
 
-def test_a_refusal_is_tried_elsewhere_whatever_the_kind(
-    unsafe_daemon, start_target, knows
+def test_refused_unsafe_request_is_retried_at_another_target(
+    unsafe_daemon, start_target, wait_for_targets
 ):
     def refuse(number):
         return first.answer(
@@ -16,15 +16,15 @@
 
     first = start_target(behave=refuse, load="0,0,4,100")
     start_target("i-2", load="3,0,4,100")
-    knows(unsafe_daemon, "i-1", "i-2")
-    unsafe_daemon.earn_repeats()
+    wait_for_targets(unsafe_daemon, "i-1", "i-2")
+    unsafe_daemon.earn_retries()
     reply = unsafe_daemon.call(**POST)
     assert (reply.status, reply.body) == (200, b"i-2 /a/x")
     assert len(first.seen) == 1
 
 
-def test_refused_by_all_is_a_promise_with_a_time_to_come_back(
-    unsafe_daemon, start_target, knows
+def test_request_refused_by_all_is_not_run_with_retry_after(
+    unsafe_daemon, start_target, wait_for_targets
 ):
     def refuse(number):
         return target.answer(
@@ -32,7 +32,7 @@
         )
 
     target = start_target(behave=refuse)
-    knows(unsafe_daemon, "i-1")
+    wait_for_targets(unsafe_daemon, "i-1")
     reply = unsafe_daemon.call(**POST)
     assert (reply.status, outcome(reply)) == (503, "not-run")
     assert float(reply.header("retry-after")) > 0
@@ -40,47 +40,49 @@
 
 
 @pytest.mark.parametrize("status", ["503 Busy", "429 Slow", "408 Late", "421 No"])
-def test_a_promise_that_the_target_did_not_make_is_not_passed_on(
-    status, unsafe_daemon, start_target, knows
+def test_not_run_status_without_not_executed_header_is_not_relayed(
+    status, unsafe_daemon, start_target, wait_for_targets
 ):
-    """Symptom: an order that ran is told as not run, and is placed again.
+    """Guards against an order that ran but is reported to its caller as not run.
 
-    Events: a target fails while it runs a request and answers 503 without saying
-    that it did not run it. Cause: the status was passed on, and by it callers go.
+    A target fails while it runs a request, and answers 503 without the header for a
+    request that did not run. Callers rely on the status, so it must not be relayed.
     """
     target = start_target(behave=lambda n: target.answer("{id}", status=status))
-    knows(unsafe_daemon, "i-1")
+    wait_for_targets(unsafe_daemon, "i-1")
     reply = unsafe_daemon.call(**POST)
     if status.startswith("421"):
-        # Only another target at this address says so, and it runs nothing.
+        # Only another target at this address answers 421, and it runs nothing.
         assert reply.status == 503
     else:
         assert (reply.status, outcome(reply)) == (502, "unknown")
     assert len(target.seen) == 1
 
 
-def test_a_failure_that_ran_is_passed_on_as_it_is(unsafe_daemon, start_target, knows):
+def test_signed_server_error_is_relayed_unchanged(
+    unsafe_daemon, start_target, wait_for_targets
+):
     target = start_target(
         behave=lambda n: target.answer("{id}", b"oops", "500 Err", proof=True)
     )
-    knows(unsafe_daemon, "i-1")
+    wait_for_targets(unsafe_daemon, "i-1")
     reply = unsafe_daemon.call(**POST)
     assert (reply.status, reply.body) == (500, b"oops")
     assert reply.header("cairnferry-response-signature") == "by-i-1"
     assert len(target.seen) == 1
 
 
-def test_another_target_at_the_address_runs_nothing(
-    unsafe_daemon, start_target, store, knows
+def test_target_that_took_over_an_address_runs_no_requests_for_old_one(
+    unsafe_daemon, start_target, store, wait_for_targets
 ):
-    """Symptom: a request runs at a service to which no route sends it.
+    """Guards against a request that runs at a service to which no route leads.
 
-    Events: a target ends, and its address goes to one of another service. Cause:
-    the request named no target.
+    A target terminates, and a target of another service gets its address. The request
+    must name the target that may run it.
     """
     other = start_target("i-new", service="other")
     store.put("servers", "i-old", target_row(other.port))
-    knows(unsafe_daemon, "i-old")
+    wait_for_targets(unsafe_daemon, "i-old")
     reply = unsafe_daemon.call(**POST)
     assert (reply.status, outcome(reply)) == (503, "not-run")
     assert other.seen == []
@@ -99,13 +101,13 @@
 
 
 @pytest.mark.parametrize("fault", BROKEN)
-def test_a_broken_answer_of_an_unsafe_request_is_unknown_and_not_repeated(
-    fault, unsafe_daemon, start_target, knows
+def test_unsafe_request_with_invalid_answer_is_unknown_and_not_retried(
+    fault, unsafe_daemon, start_target, wait_for_targets
 ):
-    """Symptom: an order is placed twice, or a page is another's or half of one.
+    """Guards against an order that runs twice, and against foreign or partial answers.
 
-    Events: the target runs the request, and what comes back is no whole answer to
-    it. Cause: another try, or passing it on.
+    The target runs the request, but its answer is incomplete, unsigned or that of
+    another request. Such an unsafe request must not be retried nor the answer relayed.
     """
     data = BROKEN[fault]
 
@@ -116,15 +118,15 @@
 
     first = start_target(behave=broken)
     second = start_target("i-2", load="4,3,4,400")
-    knows(unsafe_daemon, "i-1", "i-2")
+    wait_for_targets(unsafe_daemon, "i-1", "i-2")
     reply = unsafe_daemon.call(**POST)
     assert (reply.status, outcome(reply)) == (502, "unknown")
     assert (len(first.seen), len(second.seen)) == (1, 0)
 
 
 @pytest.mark.parametrize("fault", BROKEN)
-def test_a_broken_answer_of_a_safe_request_is_made_good(
-    fault, daemon, start_target, knows
+def test_safe_request_with_invalid_answer_is_retried(
+    fault, daemon, start_target, wait_for_targets
 ):
     def broken(number):
         if not BROKEN[fault]:
@@ -135,44 +137,46 @@
 
     start_target(behave=broken)
     start_target("i-2", load="4,1,4,400")
-    knows(daemon, "i-1", "i-2")
-    daemon.earn_repeats()
+    wait_for_targets(daemon, "i-1", "i-2")
+    daemon.earn_retries()
     reply = daemon.call()
     assert (reply.status, reply.body) == (200, b"i-2 /a/x")
 
 
-def test_an_answer_without_length_ends_with_its_connection(
-    unsafe_daemon, start_target, knows
+def test_answer_without_length_ends_at_connection_close(
+    unsafe_daemon, start_target, wait_for_targets
 ):
     data = (
         b"HTTP/1.1 200 OK\r\nConnection: close\r\nCairnferry-Request-Id: {id}\r\n"
         b"Cairnferry-Response-Signature: x\r\n\r\nwhole"
     )
     start_target(behave=lambda n: data)
-    knows(unsafe_daemon, "i-1")
+    wait_for_targets(unsafe_daemon, "i-1")
     reply = unsafe_daemon.call(**POST)
     assert (reply.status, reply.body) == (200, b"whole")
     assert reply.header("content-length") == "5"
 
 
-def test_bytes_behind_an_answer_belong_to_nobody(unsafe_daemon, start_target, knows):
+def test_bytes_after_an_answer_are_discarded(
+    unsafe_daemon, start_target, wait_for_targets
+):
     def twice(number):
         whole = target.answer("{id}", b"one", proof=True)
         return whole + target.answer("{id}", b"two", proof=True)
 
     target = start_target(behave=twice)
-    knows(unsafe_daemon, "i-1")
+    wait_for_targets(unsafe_daemon, "i-1")
     for _ in range(3):
         assert unsafe_daemon.call(**POST).body == b"one"
 
 
-def test_a_late_answer_to_another_request_is_passed_over(
-    unsafe_daemon, start_target, knows
+def test_late_answer_to_earlier_request_is_skipped(
+    unsafe_daemon, start_target, wait_for_targets
 ):
-    """Symptom: an order is unknown although its answer came.
+    """Guards against an unknown outcome of an order although its answer arrived.
 
-    Events: the extra answer to an earlier request arrives just when the next one has
-    been sent on the same connection. Cause: the first answer is taken for the end.
+    A surplus answer to an earlier request arrives just after the next request was sent
+    on the same connection, and must not be taken for the answer to this request.
     """
 
     def late(number):
@@ -180,7 +184,7 @@
         return old + target.answer("{id}", b"new", proof=True)
 
     target = start_target(behave=late)
-    knows(unsafe_daemon, "i-1")
+    wait_for_targets(unsafe_daemon, "i-1")
     reply = unsafe_daemon.call(**POST)
     assert (reply.status, reply.body) == (200, b"new")
     assert len(target.seen) == 1
--- a/tests/adapter/test_foreign_rows.py
+++ b/tests/adapter/test_foreign_rows.py
@@ -1,4 +1,4 @@
-"""Rows that another writer made: each names nothing to use, and the others hold."""
+"""Malformed rows of other writers: each is skipped, and the other rows are used."""
 
 import json
 
@@ -16,7 +16,7 @@
 from hosting._configuration import ConfigurationDecoder
 from hosting._discovery import decode_target
 from hosting._settings import read_host_settings
-from hosting._store import _items
+from hosting._store import _decode_rows
 
 from ._standins import configuration, target_row
 from .conftest import settings_text
@@ -30,11 +30,11 @@
     ),
     max_leaves=12,
 )
-DEEP = b"[" * 100_000
+DEEPLY_NESTED = b"[" * 100_000
 
 
-def spoilt(document):
-    """Give documents like this one, of which a part is missing or of another type."""
+def corrupted(document):
+    """Return a strategy for copies of a document with one part missing or replaced."""
     paths = list(_paths(document))
     return st.builds(
         lambda path, value, drop: _changed(document, path, value, drop),
@@ -67,8 +67,10 @@
     return changed
 
 
-def anything(document):
-    return st.binary() | VALUES.map(lambda v: json.dumps(v).encode()) | spoilt(document)
+def arbitrary_data(document):
+    return (
+        st.binary() | VALUES.map(lambda v: json.dumps(v).encode()) | corrupted(document)
+    )
 
 
 def decode_rules(data):
@@ -77,20 +79,20 @@
 
 
 @settings(deadline=None, max_examples=300)
-@given(anything(target_row(8080, born=1_764_000_000_000)))
-def test_a_targets_row_is_a_target_or_a_fault(data):
+@given(arbitrary_data(target_row(8080, born=1_764_000_000_000)))
+def test_arbitrary_target_row_decodes_to_target_or_fault(data):
     decoded = decode_target("i-1", data)
     found = decoded.ok if decoded.is_ok() else decoded.error
     assert isinstance(found, Target | DecodeFault)
     if isinstance(found, Target):
-        # These are looked up in tables and joined with texts.
+        # The code uses these as keys and concatenates them with strings.
         assert {type(found.service), type(found.zone), type(found.host)} == {str}
         assert {type(found.slots), type(found.started_ms)} == {int}
 
 
 @settings(deadline=None, max_examples=300)
-@given(anything(configuration()))
-def test_a_configuration_is_rules_or_a_fault(data):
+@given(arbitrary_data(configuration()))
+def test_arbitrary_configuration_decodes_to_rules_or_fault(data):
     decoded = decode_rules(data)
     found = decoded.ok if decoded.is_ok() else decoded.error
     assert isinstance(found, Rules | DecodeFault)
@@ -110,10 +112,10 @@
 
 
 @settings(deadline=None, max_examples=300)
-@given(anything(ENTRY))
-def test_an_instances_row_is_an_instance_or_left_out(data):
+@given(arbitrary_data(ENTRY))
+def test_arbitrary_instance_row_is_decoded_or_skipped(data):
     rows = (Row("a", data, 1), Row(_registry.KEY_ROW.key, b"k" * 32, 2))
-    enrolled = _registry._read(type("Batch", (), {"items": rows})).ok
+    enrolled = _registry._decode_enrolled(type("Batch", (), {"items": rows})).ok
     assert enrolled.key == b"k" * 32
     for entry in enrolled.entries:
         assert isinstance(entry, EntryRow)
@@ -121,36 +123,36 @@
 
 
 @settings(deadline=None, max_examples=200)
-@given(anything({"rules": "e30=", "targets": [["i-1", "e30=", 3]]}))
-def test_a_handover_is_read_or_a_fault(data):
+@given(arbitrary_data({"rules": "e30=", "targets": [["i-1", "e30=", 3]]}))
+def test_arbitrary_handover_decodes_to_handover_or_fault(data):
     read = Handover.read(data)
     assert isinstance(read.ok if read.is_ok() else read.error, Handover | DecodeFault)
 
 
 @pytest.mark.parametrize("decode", [decode_rules, lambda d: decode_target("i", d)])
-def test_a_document_that_is_nested_very_deeply_is_a_fault(decode):
-    assert decode(DEEP).is_error()
+def test_deeply_nested_document_is_rejected(decode):
+    assert decode(DEEPLY_NESTED).is_error()
 
 
 @pytest.mark.parametrize("value", ["?", "é", 5, []])
-def test_content_that_is_no_base64_spoils_its_own_row_alone(value):
+def test_content_that_is_not_base64_affects_only_its_row(value):
     rows = [
         {"key": "a", "value": value, "ver": 1},
         {"key": "b", "value": "eA==", "ver": 2},
     ]
-    bad, good = _items({"rows": rows}, era=0)
+    bad, good = _decode_rows({"rows": rows}, era=0)
     assert decode_target("a", bad.value).is_error()
     assert good.value == b"x"
 
 
 @pytest.mark.parametrize("born", [1.5, "1764000000000", None, True])
-def test_a_start_that_is_no_whole_number_is_a_fault(born):
+def test_start_time_that_is_not_an_integer_is_rejected(born):
     data = json.dumps(target_row(8080, born=born)).encode()
     assert "born" in str(decode_target("i-1", data).error)
 
 
 @pytest.fixture
-def prompt_news(monkeypatch):
+def short_coalescing(monkeypatch):
     monkeypatch.setattr(_followed, "TARGETS_COALESCE_S", 0.001)
 
 
@@ -165,29 +167,33 @@
 ]
 
 
-def test_the_other_rows_hold(daemon, store, start_target, knows, prompt_news, caplog):
-    """Symptom: a daemon hears of no further target. Events: another writer makes rows
-    that cannot be read. Cause: the first of them ended the task that reads them."""
+def test_malformed_rows_do_not_affect_other_rows(
+    daemon, store, start_target, wait_for_targets, short_coalescing, caplog
+):
+    """Guards against a daemon that receives no further targets.
+
+    The first row that could not be decoded ended the task that reads all rows.
+    """
     for number, row in enumerate(FOREIGN):
         store.put("servers", f"x-{number}", row)
     store.put("servers", "x-unknown", target_row(1, service="nobody"))
     start_target()
-    knows(daemon, "i-1")
+    wait_for_targets(daemon, "i-1")
     assert daemon.call().status == 200
     assert daemon.core.metrics.faulty_rows["targets"] == len(FOREIGN)
     lines = [r for r in caplog.records if r.message == "row cannot be read"]
     assert 0 < len(lines) <= len(FOREIGN)
 
 
-def test_a_target_that_starts_again_is_used_at_its_new_address(
-    daemon, store, start_target, knows, prompt_news, monkeypatch
+def test_restarted_target_is_used_at_its_new_address(
+    daemon, store, start_target, wait_for_targets, short_coalescing, monkeypatch
 ):
-    """Symptom: requests go where a target was before it started again.
+    """Guards against requests to the address of a target before its restart.
 
-    Events: it starts again under its name; a write that it made before its end is done
-    only then. Cause: the row with the higher version was taken for the later one.
+    A target restarts under its name, and a write from before the restart is applied
+    only afterwards. The row with the higher version is then that of the earlier start.
     """
-    monkeypatch.setattr(_target_rows, "DOUBT_S", 1000.0)
+    monkeypatch.setattr(_target_rows, "EARLIER_START_S", 1000.0)
     first = start_target()
     second = start_target()
     old = target_row(first.port, born=1000)
@@ -206,12 +212,15 @@
     assert (len(first.seen), len(second.seen)) == (0, 1)
 
 
-def test_a_target_whose_clock_was_set_back_is_used_in_the_end(
-    daemon, store, start_target, knows, prompt_news, monkeypatch
+def test_target_whose_clock_was_set_back_is_eventually_used(
+    daemon, store, start_target, wait_for_targets, short_coalescing, monkeypatch
 ):
-    """Symptom: a target that started again is never used. Events: its clock was ahead
-    at its first start. Cause: the later start was taken for an earlier one."""
-    monkeypatch.setattr(_target_rows, "DOUBT_S", 0.05)
+    """Guards against a restarted target that is never used.
+
+    Its clock was ahead at its first start, so the later start looks like an earlier
+    one.
+    """
+    monkeypatch.setattr(_target_rows, "EARLIER_START_S", 0.05)
     target = start_target()
     store.put("servers", "i-1", target_row(1, born=9000))
     wait_for(lambda: {t.started_ms for t in daemon.core.services.targets()} == {9000})
--- a/tests/adapter/test_losses.py
+++ b/tests/adapter/test_instance_failures.py
@@ -1,4 +1,4 @@
-"""Instances that are killed, frozen, told to leave, or started with another clock."""
+"""Instances that are killed, frozen, stopped, or restarted with another clock."""
 
 import signal
 import time
@@ -7,7 +7,7 @@
 import pytest
 from gevent.event import Event
 
-from cairnferry.standins import own_host, wait_for
+from cairnferry.standins import unique_loopback_host, wait_for
 from cairnferry.wire import Client, NotSent, Reply
 from hosting._settings import read_host_settings
 
@@ -19,10 +19,10 @@
 
 
 class Instance(Program):
-    """A program with an address of its own."""
+    """A program with its own IP address, and a client for it."""
 
     def __init__(self, folder, store_port, number):
-        self.host = own_host(number + 2)
+        self.host = unique_loopback_host(number + 2)
         text = settings_text(store_port, name=f"front-{number}", host=self.host)
         self.cfg = read_host_settings(text).ok
         folder.mkdir(exist_ok=True)
@@ -40,20 +40,22 @@
         reply = self.call()
         return isinstance(reply, Reply) and reply.status == 200
 
-    def named(self):
-        """Give the addresses that this instance tells callers; None if it is down."""
+    def resolve(self):
+        """Return this instance's steering answer to callers; None if it is down."""
         path = "/api/resolve?name=shop.example&zone=hall"
         client = Client(self.host, self.cfg.directory.port)
         reply = client.call("GET", path, timeout=10)
         return reply.body.decode() if isinstance(reply, Reply) else None
 
-    def names(self, *others):
-        named = self.named() or ""
-        return all(str(other.cfg.callers) in named for other in others)
+    def lists(self, *others):
+        addresses = self.resolve() or ""
+        return all(str(other.cfg.callers) in addresses for other in others)
 
-    def names_none(self, *others):
-        named = self.named()
-        return named and not any(str(other.cfg.callers) in named for other in others)
+    def lists_none(self, *others):
+        addresses = self.resolve()
+        return addresses and not any(
+            str(other.cfg.callers) in addresses for other in others
+        )
 
 
 @pytest.fixture
@@ -68,16 +70,16 @@
 
     yield start
     for instance in instances:
-        instance.end()
+        instance.stop()
 
 
 @pytest.fixture
 def three(start, start_target):
-    """Give three instances that know each other and a target."""
+    """Return three instances that list each other and use one target."""
     start_target()
     instances = [start(number) for number in range(3)]
     for instance in instances:
-        wait_for(lambda i=instance: i.is_serving() and i.names(*instances))
+        wait_for(lambda i=instance: i.is_serving() and i.lists(*instances))
     return instances
 
 
@@ -86,38 +88,38 @@
     instance.process.wait()
 
 
-def test_most_instances_are_killed_and_come_back(three, start, store):
-    """Symptom: callers are sent to instances that are gone, or none serves again.
+def test_service_recovers_after_most_instances_are_killed(three, start, store):
+    """Guards against steering callers to instances that are gone.
 
-    Events: two of three are killed at once and start again with the same names.
+    Two of three instances are killed at once, and restart under the same names.
     """
     first, *others = three
     for instance in others:
         kill(instance)
-    wait_for(lambda: first.names_none(*others))
+    wait_for(lambda: first.lists_none(*others))
     assert first.is_serving()
     back = [start(number) for number in (1, 2)]
     for instance in back:
-        wait_for(lambda i=instance: i.is_serving() and i.names(first, *back))
-    wait_for(lambda: first.names(*back))
+        wait_for(lambda i=instance: i.is_serving() and i.lists(first, *back))
+    wait_for(lambda: first.lists(*back))
     keys = [key for key in store.rows["cairnferry-entries"] if key == " key"]
     assert len(keys) == 1
 
 
-def test_all_instances_are_killed_and_come_back(three, start):
-    """Symptom: after a loss of power nobody serves.
+def test_service_recovers_after_all_instances_are_killed(three, start):
+    """Guards against a power failure after which no instance serves.
 
-    Cause would be anything that is kept by instances alone: they keep nothing.
+    Instances must not depend on state that only they hold, as they store none.
     """
     for instance in three:
         kill(instance)
     back = [start(number) for number in range(3)]
     for instance in back:
-        wait_for(lambda i=instance: i.is_serving() and i.names(*back))
+        wait_for(lambda i=instance: i.is_serving() and i.lists(*back))
 
 
-def test_an_order_in_flight_at_a_killed_instance_runs_once(three, start_target, store):
-    """Symptom: an order is placed twice. Cause: an instance repeats another's order."""
+def test_order_in_flight_at_killed_instance_runs_once(three, start_target, store):
+    """Guards against an order that runs twice as another instance retries it."""
     first, other, _ = three
     store.drop("servers", "i-1")
     target = start_target("i-2", behave=lambda number: Event())
@@ -133,25 +135,25 @@
     assert len(ran) == 1
 
 
-def test_an_instance_that_was_frozen_is_named_again(three):
-    """Symptom: an instance that stood still for seconds gets no callers any more.
+def test_frozen_instance_is_listed_again_when_it_resumes(three):
+    """Guards against an instance that gets no callers after a pause of some seconds.
 
-    Events: it is stopped until the others call it gone, and goes on. Cause would be
-    that it does not hear of that, or cannot refute it.
+    It is frozen until the others consider it gone, and then resumes. It must receive
+    that update and refute it.
     """
     first, second, frozen = three
     frozen.process.send_signal(signal.SIGSTOP)
-    wait_for(lambda: first.names_none(frozen))
+    wait_for(lambda: first.lists_none(frozen))
     frozen.process.send_signal(signal.SIGCONT)
-    wait_for(lambda: first.names(frozen) and second.names(frozen))
+    wait_for(lambda: first.lists(frozen) and second.lists(frozen))
     assert frozen.is_serving()
 
 
-def test_callers_that_keep_an_old_answer_are_served_while_their_instance_leaves(three):
-    """Symptom: callers with an old answer are cut when instances are restarted.
+def test_callers_with_old_steering_answer_are_served_by_leaving_instance(three):
+    """Guards against errors for callers with an old steering answer at a restart.
 
-    Events: an instance is told to stop; callers that still know its address go on to
-    connect to it until it is gone. Each of them is served or finds nobody there.
+    An instance gets SIGTERM, and callers that still use its address connect to it until
+    it has exited. Each connection is served or refused.
     """
     first, leaving, _ = three
     leaving.process.send_signal(signal.SIGTERM)
@@ -166,26 +168,26 @@
         served += 1
     assert served
     assert isinstance(reply, NotSent)
-    assert first.names_none(leaving)
+    assert first.lists_none(leaving)
     leaving.process.wait()
     assert leaving.process.returncode == 0
     assert leaving.logged("left")[0]["every_request_answered"] is True
 
 
-def test_an_instance_serves_on_for_three_times_the_life_of_an_answer(daemon):
-    """Some callers keep an answer three times as long as they are told."""
+def test_leaving_instance_serves_for_three_steering_answer_lifetimes(daemon):
+    """Guards against callers that keep a steering answer three times its lifetime."""
     cfg = daemon.core.cfg
     assert cfg.leaving.serve_s >= 3 * cfg.answer_ttl_s
     assert cfg.leaving.serve_s + cfg.leaving.limit_s < daemon.cfg.stop_s
 
 
-def test_an_instance_whose_clock_was_set_back_is_named_after_its_restart(
+def test_restarted_instance_whose_clock_was_set_back_is_listed(
     start_daemon, store, monkeypatch
 ):
-    """Symptom: an instance gets no callers after its time of day was corrected.
+    """Guards against an instance that gets no callers after its clock was set back.
 
-    Events: it starts again under its name while its clock is an hour behind. Cause
-    would be that the others take its incarnation for an older one.
+    It restarts under its name with its clock an hour behind. The others must not take
+    its incarnation for an older one.
     """
     store.put("op", "config", configuration())
     first, second = start_daemon("front-1"), start_daemon("front-2")
--- a/tests/adapter/test_pipelining.py
+++ b/tests/adapter/test_pipelining.py
@@ -1,4 +1,4 @@
-"""Requests sent ahead of answers, through a daemon of the adapter."""
+"""Pipelined requests through a daemon of the adapter."""
 
 import pytest
 from gevent.event import Event
@@ -27,31 +27,31 @@
     return connect((daemon.cfg.callers.host, daemon.cfg.callers.port), 10).sock
 
 
-def test_reads_run_side_by_side_and_are_answered_in_order(
-    daemon, start_target, knows, read_until
+def test_pipelined_reads_run_concurrently_and_are_answered_in_order(
+    daemon, start_target, wait_for_targets, read_until
 ):
     gates = {}
     target = start_target(behave=lambda n: gates.setdefault(n, Event()), load="0,0,9")
-    knows(daemon, "i-1")
+    wait_for_targets(daemon, "i-1")
     sock = connected(daemon)
     sock.sendall(b"".join(map(request, READS)))
     wait_for(lambda: len(target.seen) == 3)
     for number in (3, 2, 1):
         gates[number].set()
     received = read_until(sock, b"i-1 /a/3")
-    places = [received.index(b"i-1 " + path.encode()) for path in READS]
-    assert places == sorted(places)
+    positions = [received.index(b"i-1 " + path.encode()) for path in READS]
+    assert positions == sorted(positions)
     for path in READS:
-        own = b"Cairnferry-Request-Id: " + path.encode()
-        assert received.lower().count(own.lower()) == 1
+        id_header = b"Cairnferry-Request-Id: " + path.encode()
+        assert received.lower().count(id_header.lower()) == 1
 
 
-def test_an_order_waits_for_reads_and_runs_once(
-    daemon, start_target, knows, read_until
+def test_pipelined_unsafe_request_waits_for_earlier_requests(
+    daemon, start_target, wait_for_targets, read_until
 ):
     gate = Event()
     target = start_target(behave=lambda n: gate if n == 1 else None)
-    knows(daemon, "i-1")
+    wait_for_targets(daemon, "i-1")
     sock = connected(daemon)
     sock.sendall(request("/a/1") + request("/b/2", "POST", b"x") + request("/a/3"))
     wait_for(lambda: target.seen)
@@ -61,18 +61,21 @@
     assert [path for _, path, _, _ in target.seen] == ["/a/1", "/b/2", "/a/3"]
 
 
-def test_a_daemon_that_leaves_answers_what_it_passed_on(
-    daemon, start_target, knows, read_to_end
+def test_leaving_daemon_answers_forwarded_pipelined_requests(
+    daemon, start_target, wait_for_targets, read_to_end
 ):
-    """Symptom: a read that ran is lost when a daemon stops. Cause: it announced the end
-    with the first answer, though another request of the connection was at a target."""
+    """Guards against a request that ran but gets no answer when its daemon stops.
+
+    The daemon sent `Connection: close` with the first answer, although another request
+    of the connection was in progress at a target.
+    """
     gates = {1: Event(), 2: Event()}
     target = start_target(behave=gates.get, load="0,0,9")
-    knows(daemon, "i-1")
+    wait_for_targets(daemon, "i-1")
     sock = connected(daemon)
     sock.sendall(request("/a/1") + request("/a/2") + request("/b/3", "POST", b"x"))
     wait_for(lambda: len(target.seen) == 2)
-    daemon.core.callers_server.announce_end()
+    daemon.core.callers_server.start_closing()
     gates[2].set()
     gates[1].set()
     received = read_to_end(sock)
@@ -81,9 +84,11 @@
     assert len(target.seen) == 2
 
 
-def test_a_caller_that_leaves_cancels_all_it_had_in_flight(daemon, start_target, knows):
+def test_caller_that_disconnects_cancels_all_its_requests_in_flight(
+    daemon, start_target, wait_for_targets
+):
     target = start_target(behave=lambda n: Event(), load="0,0,9")
-    knows(daemon, "i-1")
+    wait_for_targets(daemon, "i-1")
     sock = connected(daemon)
     sock.sendall(b"".join(map(request, READS)))
     wait_for(lambda: len(target.seen) == 3)
@@ -92,10 +97,12 @@
     wait_for(lambda: not daemon.core.callers_server.connections)
 
 
-def test_a_reload_cuts_nothing(daemon, store, start_target, knows, read_until):
+def test_reload_interrupts_no_requests(
+    daemon, store, start_target, wait_for_targets, read_until
+):
     gate = Event()
     target = start_target(behave=lambda n: gate, load="0,0,9")
-    knows(daemon, "i-1")
+    wait_for_targets(daemon, "i-1")
     sock = connected(daemon)
     sock.sendall(request("/a/1") + request("/a/2"))
     wait_for(lambda: len(target.seen) == 2)
--- a/tests/adapter/test_process.py
+++ b/tests/adapter/test_process.py
@@ -1,4 +1,4 @@
-"""The program itself, as the platform starts, signals and stops it."""
+"""The program as the platform runs it: start, signals, settings and exit."""
 
 import fcntl
 import json
@@ -13,7 +13,7 @@
 import pytest
 from gevent.event import Event
 
-from cairnferry.standins import own_host, wait_for
+from cairnferry.standins import unique_loopback_host, wait_for
 from cairnferry.wire import Client, Reply
 from hosting._settings import read_host_settings
 
@@ -21,18 +21,18 @@
 from .conftest import settings_text
 
 ROOT = pathlib.Path(__file__).parents[2]
-# The program serves metrics at a port of its own on the address of its instance, so
-# that each process of a test run needs an address of its own.
-INSTANCE = own_host(1)
+# The program serves metrics on a fixed port of its instance's address, so each process
+# of a test run needs its own address.
+INSTANCE = unique_loopback_host(1)
 
-# Bytes of the smallest pipe that the kernel makes.
+# Bytes of the smallest pipe buffer that the kernel allows.
 SMALLEST_PIPE = 4096
 DUMPS = 12
-DUMPS_TOLD = b'"dump"'
+DUMP_MESSAGE = b'"dump"'
 
 
 class Program:
-    """One started process and what it wrote."""
+    """A process of the program, and its output."""
 
     def __init__(self, folder, text, output=None):
         self.settings = folder / "boot.conf"
@@ -58,7 +58,7 @@
         lines = [line for line in self.text().splitlines() if line.startswith("{")]
         return [doc for doc in map(json.loads, lines) if doc["message"] == message]
 
-    def end(self):
+    def stop(self):
         if self.process.poll() is None:
             self.process.kill()
         self.process.wait()
@@ -76,12 +76,12 @@
 
     yield start
     for program in programs:
-        program.end()
+        program.stop()
 
 
 @pytest.fixture
 def serving(store, start):
-    """Give a program with rules in force, and its settings."""
+    """Return a program with rules in force, and its settings."""
     store.put("op", "config", configuration())
     text = settings_text(store.port, host=INSTANCE)
     program = start(text)
@@ -89,19 +89,19 @@
     return program, read_host_settings(text).ok
 
 
-def ask(cfg):
+def send_request(cfg):
     headers = [("Cairnferry-Request-Id", "r"), ("Cairnferry-Deadline-Ms", "20000")]
     client = Client(INSTANCE, cfg.callers.port, host_name="shop.example")
     return client.call("GET", "/a/x", timeout=30, headers=headers)
 
 
-def test_a_request_in_flight_outlives_the_request_to_stop(serving, start_target, store):
-    """Symptom: orders are cut whenever instances are restarted in turn."""
+def test_request_in_flight_is_answered_after_sigterm(serving, start_target, store):
+    """Guards against orders that fail in a rolling restart of the instances."""
     program, cfg = serving
     hold = Event()
     target = start_target(behave=lambda number: hold)
     wait_for(lambda: program.logged("targets"))
-    caller = gevent.spawn(ask, cfg)
+    caller = gevent.spawn(send_request, cfg)
     target.arrived.wait()
     program.process.send_signal(signal.SIGTERM)
     wait_for(lambda: program.logged("leaving"))
@@ -116,13 +116,11 @@
     assert program.logged("left")[0]["every_request_answered"] is True
 
 
-def test_a_reader_of_the_log_that_stops_reading_holds_up_no_request(
-    store, tmp_path, start_target
-):
-    """Symptom: all instances stop answering when the collector of logs hangs.
+def test_stalled_log_reader_blocks_no_requests(store, tmp_path, start_target):
+    """Guards against instances that stop answering when the log collector hangs.
 
-    Events: nobody reads standard output, and its pipe fills up. Cause: a line was
-    written by a call that waits for room in the pipe.
+    Standard output is not read, and its pipe fills up. A blocking write of a log line
+    would then wait for space in the pipe.
     """
     store.put("op", "config", configuration())
     start_target()
@@ -132,28 +130,28 @@
     cfg = read_host_settings(text).ok
     program = Program(tmp_path, text, writing)
     try:
-        wait_for(lambda: answers(cfg))
-        # Each dump of the state is a line longer than what is left in the pipe.
+        wait_for(lambda: is_serving(cfg))
+        # Each dump of the state is longer than the free space in the pipe.
         for _ in range(DUMPS):
             program.process.send_signal(signal.SIGUSR1)
-            assert ask(cfg).status == 200
+            assert send_request(cfg).status == 200
         os.set_blocking(reading, False)
         written = b""
-        while DUMPS_TOLD not in written:
+        while DUMP_MESSAGE not in written:
             gevent.select.select([reading], [], [], 10)
             written += os.read(reading, 65536)
     finally:
-        program.end()
+        program.stop()
         os.close(reading)
 
 
-def answers(cfg):
-    """Tell whether the program answers a request."""
-    reply = ask(cfg)
+def is_serving(cfg):
+    """Return whether the program answers a request."""
+    reply = send_request(cfg)
     return isinstance(reply, Reply) and reply.status == 200
 
 
-def test_changed_settings_are_taken_in_and_faulty_ones_are_not(serving):
+def test_reload_applies_changed_settings_and_rejects_faulty_ones(serving):
     program, cfg = serving
     text = program.settings.read_text()
     changed = text.replace("probes_per_s=60", "probes_per_s=30")
@@ -169,7 +167,7 @@
     assert ready.status == 200
 
 
-def test_settings_that_cannot_be_read_end_the_program_with_every_fault(start):
+def test_program_exits_and_reports_all_faults_in_settings(start):
     program = start(settings_text(1).replace("zone=hall", "").replace("=6s", "=six"))
     assert program.process.wait() == 2
     assert "zone" in program.text()
--- a/tests/adapter/test_requests.py
+++ b/tests/adapter/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests through a daemon of the adapter: routes, weights, limits, time."""
+"""Requests through a daemon of the adapter: routes, weights, limits, deadlines."""
 
 import pytest
 from gevent.event import Event
@@ -9,11 +9,9 @@
 from .conftest import POST, outcome
 
 
-def test_a_request_is_passed_on_whole_and_its_answer_comes_back(
-    daemon, start_target, knows
-):
+def test_request_and_answer_are_relayed_whole(daemon, start_target, wait_for_targets):
     target = start_target()
-    knows(daemon, "i-1")
+    wait_for_targets(daemon, "i-1")
     reply = daemon.call("/a/x?q=%2F&r", headers=[("X-Other", "1")])
     assert (reply.status, reply.body) == (200, b"i-1 /a/x?q=%2F&r")
     assert reply.header("cairnferry-response-signature") == "by-i-1"
@@ -26,9 +24,9 @@
     assert 0 < int(headers["cairnferry-deadline-ms"]) <= 5000
 
 
-def test_a_body_in_chunks_is_passed_on(daemon, start_target, knows):
+def test_chunked_body_is_relayed(daemon, start_target, wait_for_targets):
     target = start_target()
-    knows(daemon, "i-1")
+    wait_for_targets(daemon, "i-1")
     conn = connect((daemon.cfg.callers.host, daemon.cfg.callers.port), 5)
     conn.sock.sendall(
         b"POST /a/x HTTP/1.1\r\nHost: shop.example\r\nCairnferry-Request-Id: r\r\n"
@@ -43,39 +41,41 @@
     ("host", "path"),
     [("shop.example", "/b/"), ("shop.example", "/ax/"), ("other.example", "/a/")],
 )
-def test_what_no_route_matches_is_404(daemon, start_target, host, path):
+def test_request_without_matching_route_gets_404(daemon, start_target, host, path):
     start_target()
     assert daemon.call(path, host=host).status == 404
 
 
-def test_the_longest_prefix_decides(store, start_daemon, start_target, knows):
+def test_longest_prefix_matches(store, start_daemon, start_target, wait_for_targets):
     rules = [rule(), rule("r-2", "/a/deep/", service="two")]
     store.put("op", "config", configuration(rules=rules, clusters=("svc", "two")))
     daemon = start_daemon()
     start_target()
     start_target("i-2", service="two")
-    knows(daemon, "i-1", "i-2")
+    wait_for_targets(daemon, "i-1", "i-2")
     assert daemon.call("/a/deepest").body.startswith(b"i-1")
     assert daemon.call("/a/deep/x").body.startswith(b"i-2")
 
 
-def test_weights_are_kept(store, start_daemon, start_target, knows):
+def test_requests_are_split_by_weight(
+    store, start_daemon, start_target, wait_for_targets
+):
     parts = [{"service": "svc", "weight": 3}, {"service": "two", "weight": 1}]
     rules = [rule(backends=parts)]
     store.put("op", "config", configuration(rules=rules, clusters=("svc", "two")))
     daemon = start_daemon()
     first, second = start_target(), start_target("i-2", service="two")
-    knows(daemon, "i-1", "i-2")
+    wait_for_targets(daemon, "i-1", "i-2")
     for _ in range(40):
         assert daemon.call().status == 200
     assert len(first.seen) in (29, 30, 31)
     assert len(first.seen) + len(second.seen) == 40
 
 
-def test_without_rules_nothing_is_denied(store, start_daemon):
-    """Symptom: 404 for what every configuration allows, right after a restart.
+def test_daemon_without_rules_answers_503_not_404(store, start_daemon):
+    """Guards against 404 right after a restart for a path that has a route.
 
-    Cause: a daemon that knows no rules yet takes that for having none.
+    A daemon that has not received its rules yet must not act as if it had no routes.
     """
     daemon = start_daemon(wait=False)
     reply = daemon.call()
@@ -84,21 +84,25 @@
     assert daemon.get(daemon.cfg.ready, "/api/ready").status == 503
 
 
-def test_the_route_bounds_the_time(store, start_daemon, start_target, knows):
+def test_route_timeout_limits_request(
+    store, start_daemon, start_target, wait_for_targets
+):
     store.put(
         "op", "config", configuration(rules=[rule(kind="unsafe", timeout="100ms")])
     )
     daemon = start_daemon()
     target = start_target(behave=lambda n: Event())
-    knows(daemon, "i-1")
+    wait_for_targets(daemon, "i-1")
     reply = daemon.call(**POST)
     assert (reply.status, outcome(reply)) == (504, "unknown")
     assert int(target.seen[0][2]["cairnferry-deadline-ms"]) <= 100
 
 
-def test_a_caller_that_goes_away_ends_the_work(daemon, start_target, knows):
+def test_caller_that_disconnects_cancels_its_request(
+    daemon, start_target, wait_for_targets
+):
     target = start_target(behave=lambda n: Event())
-    knows(daemon, "i-1")
+    wait_for_targets(daemon, "i-1")
     conn = connect((daemon.cfg.callers.host, daemon.cfg.callers.port), 5)
     headers = [("Cairnferry-Request-Id", "r"), ("Cairnferry-Deadline-Ms", "20000")]
     conn.sock.sendall(encode_request("GET", "/a/x", "shop.example", headers, b""))
@@ -107,20 +111,20 @@
     target.cut.wait()
 
 
-def test_a_deadline_that_is_no_number_is_refused(daemon, start_target, knows):
+def test_non_numeric_deadline_is_rejected(daemon, start_target, wait_for_targets):
     target = start_target()
-    knows(daemon, "i-1")
+    wait_for_targets(daemon, "i-1")
     assert daemon.call(deadline_ms="soon").status == 400
     assert target.seen == []
 
 
-def test_a_body_over_the_limit_is_refused(daemon, start_target, knows):
+def test_body_over_the_limit_is_rejected(daemon, start_target, wait_for_targets):
     start_target()
-    knows(daemon, "i-1")
+    wait_for_targets(daemon, "i-1")
     assert daemon.call(method="POST", body=b"x" * 100_001).status == 413
     assert daemon.call(method="POST", body=b"x" * 100_000).status == 200
 
 
-def test_no_target_is_a_promise_at_once(daemon):
+def test_request_without_targets_is_not_run(daemon):
     reply = daemon.call()
     assert (reply.status, outcome(reply)) == (503, "not-run")
--- a/tests/adapter/test_resting_targets.py
+++ b/tests/adapter/test_resting_targets.py
@@ -1,4 +1,4 @@
-"""Daemons as processes, and targets that turn requests away and ask for rest."""
+"""Daemon processes, and targets that refuse requests and ask for a back-off."""
 
 import time
 
@@ -7,25 +7,25 @@
 
 from cairnferry.standins import wait_for
 
-from ._noting import callers_of, noting_targets
 from ._processes import running_fleet
+from ._recording import recording_targets, start_callers
 from ._standins import configuration, rule
 
 DAEMONS = ("hall", "yard")
 TARGETS = 4
 CALLERS_EACH = 4
-REST_S = 3.0
-# Allowed: so many requests may reach the target from one daemon, from so many
-# seconds after it asked to the end of what it asked for.
+BACK_OFF_S = 3.0
+# From GRACE_S seconds after a target asked for a back-off to the end of the back-off,
+# each daemon may send it at most ALLOWED requests.
 GRACE_S = 0.5
 ALLOWED = 2
-# Seconds by which this process and the daemons may be apart.
+# Seconds by which times in this process and in the daemons may differ.
 MARGIN_S = 0.2
 
 
 @pytest.fixture
 def targets(store):
-    yield from noting_targets(store, TARGETS)
+    yield from recording_targets(store, TARGETS)
 
 
 @pytest.fixture
@@ -35,19 +35,19 @@
 
 @pytest.fixture
 def fleet(store, targets, answers, tmp_path):
-    """Give daemons of two zones, and callers of both."""
+    """Yield daemons of two zones, with callers for each daemon."""
     store.put("op", "config", configuration(rules=[rule(attempts=2)]))
     with running_fleet(store.port, DAEMONS, tmp_path) as started:
-        callers = callers_of(started, CALLERS_EACH, answers)
+        callers = start_callers(started, CALLERS_EACH, answers)
         yield started
         gevent.killall(callers)
 
 
-def ask_for_rest(targets):
-    """Let targets turn requests away until each daemon was asked; give the time."""
+def request_back_off(targets):
+    """Let targets refuse requests until each daemon was asked; return the time then."""
     for target in targets:
-        target.status, target.extra = "503 Busy", f"Retry-After: {REST_S}"
-    wait_for(lambda: all(each.has_told(len(DAEMONS)) for each in targets), 60.0)
+        target.status, target.extra = "503 Busy", f"Retry-After: {BACK_OFF_S}"
+    wait_for(lambda: all(each.has_advised(len(DAEMONS)) for each in targets), 60.0)
     return time.monotonic()
 
 
@@ -56,37 +56,37 @@
         target.status, target.extra = "200 OK", None
 
 
-def fullest_rest(target):
-    """Give the most requests that one daemon sent in a rest asked of it."""
-    return max(target.late(GRACE_S, REST_S))
+def max_during_back_off(target):
+    """Return the maximum number of requests that a daemon sent in a back-off."""
+    return max(target.count_late(GRACE_S, BACK_OFF_S))
 
 
-def test_a_target_that_asks_for_rest_gets_it_and_is_used_after_it(fleet, targets):
-    """Guards against requests at a target within the rest that it has asked for."""
-    tired = targets[0]
-    wait_for(lambda: len(tired.arrivals) >= 40, 60.0)
-    ask_for_rest([tired])
+def test_target_gets_no_requests_during_back_off_and_is_used_after_it(fleet, targets):
+    """Guards against requests to a target during the back-off that it asked for."""
+    overloaded = targets[0]
+    wait_for(lambda: len(overloaded.arrivals) >= 40, 60.0)
+    request_back_off([overloaded])
     gevent.sleep(GRACE_S)
-    recover([tired])
-    asked, _ = tired.told[-1]
-    wait_for(lambda: tired.arrivals[-1][0] > asked + REST_S, 60.0)
-    assert fullest_rest(tired) <= ALLOWED
+    recover([overloaded])
+    advised_at, _ = overloaded.advised[-1]
+    wait_for(lambda: overloaded.arrivals[-1][0] > advised_at + BACK_OFF_S, 60.0)
+    assert max_during_back_off(overloaded) <= ALLOWED
 
 
-def test_while_all_rest_callers_are_told_when_the_first_is_back(
+def test_retry_after_is_end_of_first_back_off_while_all_targets_back_off(
     fleet, targets, answers
 ):
-    """Guards against callers that wait, or come back too soon, for what is known."""
+    """Guards against a Retry-After that differs from the known end of a back-off."""
     wait_for(lambda: all(len(target.arrivals) >= 10 for target in targets), 60.0)
-    last = ask_for_rest(targets)
+    last = request_back_off(targets)
     recover(targets)
-    first_back = min(at for target in targets for at, _ in target.told) + REST_S
-    wait_for(lambda: answers[-1][0] > last + REST_S and answers[-1][1] == 200, 60.0)
-    told = [
+    first_back = min(at for target in targets for at, _ in target.advised) + BACK_OFF_S
+    wait_for(lambda: answers[-1][0] > last + BACK_OFF_S and answers[-1][1] == 200, 60.0)
+    retry_times = [
         at + float(reply.header("retry-after"))
         for at, status, reply in answers
         if last + MARGIN_S < at < first_back - MARGIN_S and status == 503
     ]
-    assert told
-    assert min(told) >= first_back - MARGIN_S
-    assert max(fullest_rest(target) for target in targets) <= ALLOWED
+    assert retry_times
+    assert min(retry_times) >= first_back - MARGIN_S
+    assert max(max_during_back_off(target) for target in targets) <= ALLOWED
--- a/tests/adapter/test_retry_budgets.py
+++ b/tests/adapter/test_retry_budgets.py
@@ -1,4 +1,4 @@
-"""Daemons as processes that are killed in series, and targets that refuse all."""
+"""Daemon processes that are killed repeatedly, and targets that refuse requests."""
 
 from collections import Counter
 
@@ -7,16 +7,16 @@
 from cairnferry.entry.core import _core
 from cairnferry.standins import wait_for
 
-from ._processes import ALIVE, running_fleet
+from ._processes import ALIVE_METRIC, running_fleet
 from ._standins import HostedTarget, configuration, rule, target_row
 
 DAEMONS = ("hall", "yard")
 TARGETS = 8
-LIVES = 5
+RESTARTS = 5
 CALLS = 10
 RATIO = 0.2
 SLACK = 10
-# Longer than the test, so that all of it lies in one window.
+# The window is longer than the test, so that the whole test is in one window.
 WINDOW = ("bounds.retry_window=10s", "bounds.retry_window=600s")
 BUDGET = ("bounds.retry_budget_slack=64", f"bounds.retry_budget_slack={SLACK}")
 
@@ -40,7 +40,7 @@
         target.behave = lambda number, refusal=refusal: refusal
 
 
-def arrivals_beyond_the_first(targets):
+def count_further_arrivals(targets):
     ids = Counter(
         headers["cairnferry-request-id"]
         for target in targets
@@ -49,31 +49,33 @@
     return sum(count - 1 for count in ids.values())
 
 
-def test_daemons_killed_in_series_spend_no_budget_twice(store, targets, tmp_path):
-    """Guards against a process that starts again with what the last one has spent."""
+def test_restarted_daemons_do_not_spend_retry_budget_twice(store, targets, tmp_path):
+    """Guards against a restarted process that spends the same budget again."""
     store.put("op", "config", configuration(rules=[rule(attempts=2)]))
     settings = [WINDOW, BUDGET]
     with running_fleet(store.port, DAEMONS, tmp_path, settings) as fleet:
         refuse_all(targets)
         sent = 0
-        for life in range(LIVES):
+        for restart_number in range(RESTARTS):
             for index, process in enumerate(fleet):
                 for number in range(CALLS):
-                    process.call("/a/x", request_id=f"r-{life}-{index}-{number}")
+                    process.call(
+                        "/a/x", request_id=f"r-{restart_number}-{index}-{number}"
+                    )
                     sent += 1
             for index, process in enumerate(fleet):
-                process.end()
-                fleet[index] = process.start_again()
+                process.kill()
+                fleet[index] = process.restart()
             for process in fleet:
-                wait_for(lambda each=process: each.metric(ALIVE) == len(DAEMONS))
-    further = arrivals_beyond_the_first(targets)
+                wait_for(lambda each=process: each.metric(ALIVE_METRIC) == len(DAEMONS))
+    further = count_further_arrivals(targets)
     assert 0 < further <= RATIO * sent + SLACK
 
 
-def test_a_daemon_that_enrols_is_not_alone_to_the_next_round(
+def test_newly_enrolled_daemon_counts_other_instances_at_once(
     store, start_daemon, monkeypatch
 ):
-    """Guards against the slack of all at one that has just heard of the others."""
+    """Guards against a new daemon that uses the slack of all instances alone."""
     monkeypatch.setattr(_core, "SHARE_UPDATE_S", 3600.0)
     first, second = (start_daemon(name, wait=False) for name in ("front-1", "front-2"))
     for daemon in (first, second):
--- a/tests/adapter/test_store.py
+++ b/tests/adapter/test_store.py
@@ -1,4 +1,4 @@
-"""Calls to the store, and the registry in it."""
+"""Client of the store, and the registry of daemons in the store."""
 
 import attrs
 import gevent
@@ -20,7 +20,7 @@
     return EntryRow(name, "hall", f"10.0.0.1:{len(name)}", "10.0.0.1:80")
 
 
-def test_a_table_is_listed_page_by_page(store, client):
+def test_table_is_listed_page_by_page(store, client):
     for index in range(8):
         store.put("t", f"k{index}", {"n": index})
     batch = client.rows("t").ok
@@ -29,13 +29,13 @@
     assert store.calls["/api/rows-get"] == 3
 
 
-def test_an_empty_table_is_an_empty_batch(client):
+def test_empty_table_is_an_empty_batch(client):
     assert client.rows("t").ok.items == ()
 
 
-def test_changes_are_waited_for(store, client):
+def test_changes_waits_for_a_write(store, client):
     feed = TableFeed(client, "t")
-    waiting = gevent.spawn(feed.since, 0, 30.0)
+    waiting = gevent.spawn(feed.wait_for_changes, 0, 30.0)
     while not store.calls["/api/rows-feed"]:
         gevent.sleep(0)
     store.put("t", "a", b"x")
@@ -44,19 +44,19 @@
         ("a", b"x", 1)
     ]
     store.drop("t", "a")
-    (item,) = feed.since(1, 30.0).ok.items
+    (item,) = feed.wait_for_changes(1, 30.0).ok.items
     assert (item.key, item.value) == ("a", None)
 
 
-def test_changes_that_are_no_longer_kept_are_a_type_of_their_own(store, client):
+def test_dropped_changes_are_history_lost(store, client):
     store.put("t", "a", b"x")
     store.put("t", "a", b"y")
-    store.forget_history()
+    store.drop_history()
     assert client.changes("t", 1, 30.0).error == HistoryLost()
 
 
 @pytest.mark.parametrize("fault", [429, 503, "cut", "lost", "words"])
-def test_a_call_without_a_good_answer_says_why(store, client, fault):
+def test_failed_call_returns_reason(store, client, fault):
     store.faults["/api/rows-get"] = [fault]
     error = client.rows("t").error
     assert isinstance(error, FeedUnavailable)
@@ -64,15 +64,15 @@
     assert client.rows("t").is_ok()
 
 
-def test_a_write_happens_once_even_if_its_answer_is_lost(store, client):
-    """Symptom: a row is written twice. Cause: a library sends the call again."""
+def test_write_is_not_retried_if_its_answer_is_lost(store, client):
+    """Guards against a row that is written twice as a library retries the call."""
     store.faults["/api/rows-tx"] = ["lost"]
     assert client.write({ROW: b"1"}, {}).is_error()
     assert store.calls["/api/rows-tx"] == 1
     assert store.rows["t"]["k"].value == b"1"
 
 
-def test_a_condition_that_does_not_hold_gives_the_rows_as_they_are(store, client):
+def test_failed_precondition_returns_current_rows(store, client):
     assert client.write({ROW: b"1"}, {ROW: 0}).is_ok()
     conflict = client.write({ROW: b"2"}, {ROW: 0}).error
     assert isinstance(conflict, Conflict)
@@ -82,7 +82,7 @@
 # -- registry -----------------------------------------------------------------------
 
 
-def test_the_first_key_stays_and_every_instance_reads_it(store, client):
+def test_first_key_is_kept_and_read_by_every_instance(store, client):
     registry = StoreRegistry(client)
     assert registry.write_first(entry("a"), b"first").is_ok()
     assert registry.write_first(entry("bb"), b"second").error == KeyExists()
@@ -92,14 +92,14 @@
     assert set(enrolled.entries) == {entry("a"), entry("bb")}
 
 
-def test_an_instance_that_comes_back_has_one_row(store, client):
+def test_restarted_instance_has_one_row(store, client):
     registry = StoreRegistry(client)
     registry.write_first(entry("a"), b"key")
     registry.write(entry("a"))
     assert registry.read().ok.entries == (entry("a"),)
 
 
-def test_a_write_whose_answer_is_lost_counts_as_a_fault(store, client):
+def test_write_with_lost_answer_is_a_fault(store, client):
     store.faults["/api/rows-tx"] = ["lost"]
     registry = StoreRegistry(client)
     error = registry.write_first(entry("a"), b"key").error
@@ -107,13 +107,13 @@
     assert store.rows[TABLE][" key"].value == b"key"
 
 
-def test_a_table_without_a_key_is_a_fault(store, client):
+def test_table_without_key_is_a_fault(store, client):
     registry = StoreRegistry(client)
     registry.write(entry("a"))
     assert isinstance(registry.read().error, FeedUnavailable)
 
 
-def test_a_row_of_another_release_is_passed_over(store, client):
+def test_row_of_another_release_is_skipped(store, client):
     store.put(TABLE, "odd", {"name": "odd", "new": 1})
     store.put(TABLE, "worse", b"\xff")
     registry = StoreRegistry(client)
@@ -121,7 +121,7 @@
     assert registry.read().ok.entries == (entry("a"),)
 
 
-def test_rows_of_instances_that_are_gone_are_removed_and_the_key_stays(store, client):
+def test_rows_of_gone_instances_are_removed_and_key_is_kept(store, client):
     registry = StoreRegistry(client)
     registry.write_first(entry("a"), b"key")
     registry.write(entry("bb"))
@@ -133,11 +133,11 @@
     assert store.calls["/api/rows-tx"] == calls
 
 
-def test_a_row_that_is_written_anew_is_not_removed(store, client, monkeypatch):
-    """Symptom: an instance that came back is missing in the registry.
+def test_row_written_again_is_not_removed(store, client, monkeypatch):
+    """Guards against a restarted instance that is missing in the registry.
 
-    Events: it leaves; the removal of its row is done seconds later, after it has
-    started again and written its row. Cause: a removal without condition.
+    Its row is removed some seconds after it left, when it has restarted and written its
+    row again. The removal must have the row's version as its precondition.
     """
     registry = StoreRegistry(client)
     registry.write(entry("a"))
--- a/tests/adapter/test_news.py
+++ b/tests/adapter/test_updates.py
@@ -1,4 +1,4 @@
-"""Rules and targets as the store tells them, and as peers do when it does not."""
+"""Updates of rules and targets, from the store or from peers in a store outage."""
 
 import json
 
@@ -16,8 +16,8 @@
 
 
 @pytest.fixture(autouse=True)
-def prompt_news(monkeypatch):
-    """Ask for targets again at once; the pause is a price, not a promise."""
+def short_coalescing(monkeypatch):
+    """Call for targets again at once; the pause saves calls, no test relies on it."""
     monkeypatch.setattr(_followed, "TARGETS_COALESCE_S", 0.001)
 
 
@@ -25,16 +25,18 @@
     wait_for(lambda: daemon.core.services.revision == revision)
 
 
-def test_a_newer_configuration_is_in_force(daemon, store, start_target, knows):
+def test_newer_configuration_takes_effect(
+    daemon, store, start_target, wait_for_targets
+):
     start_target("i-2", service="two")
     rules = [rule(service="two")]
     store.put("op", "config", configuration(9, rules=rules, clusters=("two",)))
     in_force(daemon, 9)
-    knows(daemon, "i-2")
+    wait_for_targets(daemon, "i-2")
     assert daemon.call().body.startswith(b"i-2")
 
 
-def test_an_older_configuration_changes_nothing(daemon, store):
+def test_older_configuration_is_ignored(daemon, store):
     store.put("op", "config", configuration(2, rules=[rule(prefix="/old/")]))
     store.put("op", "other", {"x": 1})
     store.put("op", "config", configuration(4))
@@ -45,11 +47,11 @@
 @pytest.mark.parametrize(
     "document", [b"{", b"[]", {"version": "r9"}, configuration(9, clusters=("other",))]
 )
-def test_a_configuration_that_cannot_be_read_leaves_what_is_in_force(
-    document, daemon, store, start_target, knows, caplog
+def test_unreadable_configuration_leaves_current_rules_in_force(
+    document, daemon, store, start_target, wait_for_targets, caplog
 ):
     start_target()
-    knows(daemon, "i-1")
+    wait_for_targets(daemon, "i-1")
     store.put("op", "config", document)
     wait_for(lambda: daemon.core.cluster.configuration.behind)
     assert daemon.core.services.revision == 3
@@ -60,16 +62,18 @@
     assert daemon.core.cluster.configuration.behind is None
 
 
-def test_limits_come_with_the_configuration(daemon, store):
+def test_configuration_sets_limits(daemon, store):
     store.put("op", "config", configuration(5, max_body_bytes=10, idle_timeout="7s"))
     in_force(daemon, 5)
     assert daemon.call(method="POST", body=b"x" * 11).status == 413
     assert daemon.core.callers_server.limits.idle_s == 7.0
 
 
-def test_a_target_that_drains_gets_no_new_request(daemon, store, start_target, knows):
+def test_draining_target_gets_no_new_requests(
+    daemon, store, start_target, wait_for_targets
+):
     first, second = start_target(), start_target("i-2", load="3,0,4,400")
-    knows(daemon, "i-1", "i-2")
+    wait_for_targets(daemon, "i-1", "i-2")
     store.put("servers", "i-1", target_row(first.port, state="draining"))
     wait_for(
         lambda: any(
@@ -81,39 +85,41 @@
     assert (len(first.seen), len(second.seen)) == (0, 5)
 
 
-def test_a_target_that_is_removed_gets_no_new_request(
-    daemon, store, start_target, knows
+def test_removed_target_gets_no_new_requests(
+    daemon, store, start_target, wait_for_targets
 ):
     first = start_target()
     start_target("i-2")
-    knows(daemon, "i-1", "i-2")
+    wait_for_targets(daemon, "i-1", "i-2")
     store.drop("servers", "i-1")
-    knows(daemon, "i-2")
+    wait_for_targets(daemon, "i-2")
     for _ in range(5):
         assert daemon.call().body.startswith(b"i-2")
     assert first.seen == []
 
 
-def test_lost_history_is_listed_again(daemon, store, start_target, knows):
-    """Symptom: a target that left while history was dropped is used for ever."""
+def test_tables_are_listed_again_when_history_is_lost(
+    daemon, store, start_target, wait_for_targets
+):
+    """Guards against use of a target that left while the history was dropped."""
     start_target()
     start_target("i-2")
-    knows(daemon, "i-1", "i-2")
+    wait_for_targets(daemon, "i-1", "i-2")
     store.down = "cut"
     store.drop("servers", "i-1")
     store.put("op", "config", configuration(20))
-    store.forget_history()
+    store.drop_history()
     store.down = None
     in_force(daemon, 20)
-    knows(daemon, "i-2")
+    wait_for_targets(daemon, "i-2")
 
 
 @pytest.mark.parametrize("fault", [503, 429, "cut", "words"])
-def test_what_is_in_force_serves_while_the_store_is_away(
-    fault, daemon, store, start_target, knows
+def test_requests_are_served_while_store_is_unavailable(
+    fault, daemon, store, start_target, wait_for_targets
 ):
     start_target()
-    knows(daemon, "i-1")
+    wait_for_targets(daemon, "i-1")
     store.down = fault
     store.put("servers", "i-0", b"wakes those that wait")
     before = store.calls.total()
@@ -124,7 +130,7 @@
     in_force(daemon, 8)
 
 
-def test_a_slow_answer_comes_in_force_when_it_is_there(store, start_daemon):
+def test_slow_answer_takes_effect_on_arrival(store, start_daemon):
     store.put("op", "config", configuration())
     store.faults["/api/rows-get"] = ["slow"] * 3
     daemon = start_daemon(wait=False)
@@ -134,12 +140,10 @@
     in_force(daemon, 3)
 
 
-def test_a_daemon_that_the_store_refuses_hears_of_news_from_a_peer(
-    daemon, store, start_daemon
-):
-    """Symptom: a daemon serves old rules for as long as it is cut from the store.
+def test_daemon_refused_by_store_gets_updates_from_a_peer(daemon, store, start_daemon):
+    """Guards against a daemon that serves old rules while the store refuses it.
 
-    Cause: it had only its own way to the store, although its peers knew better.
+    Its peers have newer rules, so it must not depend on the store alone.
     """
     other = start_daemon("front-2")
     wait_for(lambda: len(daemon.core.cluster.membership.live()) == 2)
@@ -149,7 +153,7 @@
     in_force(daemon, 30)
 
 
-def test_daemons_start_while_the_store_is_away(store, start_daemon):
+def test_daemon_can_start_while_store_is_unavailable(store, start_daemon):
     store.put("op", "config", configuration())
     store.down = 503
     daemon = start_daemon(wait=False)
@@ -160,13 +164,13 @@
     wait_for(lambda: daemon.core.cluster.listed)
 
 
-def test_a_request_in_progress_outlives_a_change_of_rules(
-    daemon, store, start_target, knows
+def test_request_in_progress_survives_a_change_of_rules(
+    daemon, store, start_target, wait_for_targets
 ):
-    """Symptom: requests are cut whenever the configuration changes."""
+    """Guards against requests that fail when the configuration changes."""
     hold = Event()
     target = start_target(behave=lambda number: hold)
-    knows(daemon, "i-1")
+    wait_for_targets(daemon, "i-1")
     caller = gevent.spawn(daemon.call)
     target.arrived.wait()
     rules = [rule("r-9", "/z/", service="two")]
@@ -176,64 +180,64 @@
     assert caller.get().status == 200
 
 
-def test_a_daemon_that_starts_in_an_outage_takes_over_what_others_hold(
-    daemon, store, start_daemon, start_target, knows
+def test_daemon_started_in_store_outage_gets_handover_from_others(
+    daemon, store, start_daemon, start_target, wait_for_targets
 ):
-    """Symptom: a daemon that was restarted refuses every request to the end of an
-    outage of the store, although the others serve.
+    """Guards against a restarted daemon that refuses all requests in a store outage.
 
-    Cause: it keeps nothing, and had nobody to ask but the store.
+    It stores no state itself and depended on the store alone, while other daemons
+    continued to serve.
     """
     start_target()
-    knows(daemon, "i-1")
+    wait_for_targets(daemon, "i-1")
     store.down = 503
     seeds = [daemon.cfg.handover]
     other = start_daemon("front-2", seeds=seeds)
-    knows(other, "i-1")
+    wait_for_targets(other, "i-1")
     assert other.call().status == 200
     store.down = None
     store.drop("servers", "i-1")
-    knows(other)
+    wait_for_targets(other)
 
 
-def test_what_is_taken_over_is_replaced_by_what_the_store_says(
-    daemon, store, start_daemon, start_target, knows
+def test_handover_is_replaced_by_content_of_store(
+    daemon, store, start_daemon, start_target, wait_for_targets
 ):
     start_target()
-    knows(daemon, "i-1")
+    wait_for_targets(daemon, "i-1")
     store.down = 503
     other = start_daemon("front-2", seeds=[daemon.cfg.handover])
-    knows(other, "i-1")
+    wait_for_targets(other, "i-1")
     start_target("i-2")
     store.drop("servers", "i-1")
     store.put("op", "config", configuration(40))
     store.down = None
     in_force(other, 40)
-    knows(other, "i-2")
+    wait_for_targets(other, "i-2")
 
 
 @pytest.mark.parametrize(
     "body", [b"", b"[]", b'{"rules": 1, "targets": []}', b'{"rules": "!!"}']
 )
-def test_a_handover_that_cannot_be_read_changes_nothing(body):
+def test_malformed_handover_is_rejected(body):
     assert Handover.read(body).is_error()
 
 
-def test_a_daemon_without_rules_hands_nothing_over(store, start_daemon):
+def test_daemon_without_rules_offers_no_handover(store, start_daemon):
     first = start_daemon(wait=False)
     reply = first.get(first.cfg.handover, "/handover")
     assert reply.status == 503
 
 
-def test_a_peer_that_has_nothing_to_give_is_not_asked_for_ever(daemon, monkeypatch):
-    """Guards against calls without end to a peer that lost the rules it offered."""
-    asked = []
+def test_calls_to_peer_without_offered_rules_are_limited(daemon, monkeypatch):
+    """Guards against endless calls to a peer that lost the rules that it offered."""
+    requested = []
 
     class Link:
         address = "10.0.0.9:1"
 
         def document_since(self, revision):
-            asked.append(revision)
+            requested.append(revision)
             return NO_DOCUMENT_NEWS
 
     def at_once(pause, function, *args):
@@ -242,4 +246,4 @@
     monkeypatch.setattr(_followed.gevent, "spawn_later", at_once)
     records = daemon.core.cluster.configuration
     records.pull_from(Link(), offered=records.revision + 1)
-    assert len(asked) == 1 + MAX_BUSY_RETRIES
+    assert len(requested) == 1 + MAX_BUSY_RETRIES
--- a/tests/adapter/test_watching.py
+++ b/tests/adapter/test_watching.py
@@ -1,4 +1,4 @@
-"""Several daemons of a zone: one watches the store, and the others hear from it."""
+"""Several daemons of a zone: one watches the store and forwards the updates."""
 
 import math
 
@@ -15,8 +15,8 @@
 
 
 @pytest.fixture(autouse=True)
-def prompt(monkeypatch):
-    """Make pauses short; let one daemon watch, as where there are several zones."""
+def short_pauses(monkeypatch):
+    """Shorten pauses, and set one watcher per zone, as with several zones."""
     monkeypatch.setattr(_watcher_role, "WATCHERS", 1)
     monkeypatch.setattr(_watcher_role, "CHECK_S", 0.0)
     monkeypatch.setattr(_watcher_role, "SETTLE_S", math.inf)
@@ -26,7 +26,7 @@
 
 @pytest.fixture
 def daemons(store, start_daemon, start_target, monkeypatch):
-    """Give five daemons that know each other; four of them joined by the first."""
+    """Return five daemons that see each other; four joined through the first."""
     store.put("op", "config", configuration())
     start_target()
     first = start_daemon()
@@ -38,43 +38,43 @@
         wait_for(lambda d=daemon: len(d.core.cluster.membership.live()) == 5)
         wait_for(lambda d=daemon: len(d.core.cluster.listed) == 5)
         wait_for(lambda d=daemon: d.core.watcher_role.is_ready)
-    # Now that they have met, whatever time that took.
+    # All daemons see each other now, however long that took.
     monkeypatch.setattr(_watcher_role, "SETTLE_S", 0.0)
-    assert len(watching(everyone)) == 1
+    assert len(active_watchers(everyone)) == 1
     return everyone
 
 
-def watching(daemons):
+def active_watchers(daemons):
     return [daemon for daemon in daemons if daemon.core.watcher_role.is_active()]
 
 
-def all_know(daemons, *names):
+def wait_for_targets(daemons, *names):
     for daemon in daemons:
         wait_for(
             lambda d=daemon: {t.name for t in d.core.services.targets()} == set(names)
         )
 
 
-def test_those_that_join_neither_write_nor_list(daemons, store):
-    # The key with the own row, and each of the others once at most.
+def test_joining_daemons_neither_write_nor_list_tables(daemons, store):
+    # One write for the key and the first daemon's row, at most one per other daemon.
     assert store.calls["/api/rows-tx"] <= 1 + 4
-    # The registry, and three tables that the first one lists to follow them.
+    # The first daemon lists the registry, and three tables that it follows.
     pages = 2 * 4
     assert store.calls["/api/rows-get"] <= pages
 
 
-def test_changes_come_in_force_at_all_of_them(daemons, store, start_target):
+def test_changes_take_effect_at_all_daemons(daemons, store, start_target):
     start_target("i-2")
-    all_know(daemons, "i-1", "i-2")
+    wait_for_targets(daemons, "i-1", "i-2")
     store.drop("servers", "i-1")
-    all_know(daemons, "i-2")
+    wait_for_targets(daemons, "i-2")
     store.put("op", "config", configuration(9))
     for daemon in daemons:
         wait_for(lambda d=daemon: d.core.services.revision == 9)
 
 
-def test_a_large_change_of_rules_costs_little_between_daemons(daemons, store):
-    """Guards against links that carry thousands of rules as plain text."""
+def test_large_change_of_rules_sends_few_bytes_between_daemons(daemons, store):
+    """Guards against sending thousands of rules as plain text on each change."""
     rules = [rule(name=f"r-{n}", prefix=f"/p{n}/") for n in range(2000)]
     store.put("op", "config", configuration(9, rules=rules))
     for daemon in daemons:
@@ -91,26 +91,26 @@
 
 
 def document_bytes(daemons):
-    called = [daemon.core.peer_meter.called for daemon in daemons]
+    called = [daemon.core.peer_meter.call_bytes for daemon in daemons]
     assert not any(each["snapshot", "near"] for each in called)
     return sum(each["document", "near"] for each in called)
 
 
-def test_an_evacuation_is_known_to_all_and_asks_nobody_for_the_rules(daemons, store):
-    """Guards against a zone that only the watchers spare."""
-    before = [daemon.core.peer_meter.called.copy() for daemon in daemons]
+def test_evacuation_reaches_all_daemons_without_sending_rules(daemons, store):
+    """Guards against an evacuation that only the watchers apply."""
+    before = [daemon.core.peer_meter.call_bytes.copy() for daemon in daemons]
     store.put("op", "evacuate/hall", {})
     for daemon in daemons:
         wait_for(lambda d=daemon: d.core.services.evacuated == {"hall"})
     for daemon, called in zip(daemons, before, strict=True):
-        now = daemon.core.peer_meter.called
+        now = daemon.core.peer_meter.call_bytes
         assert now.get(("document", "near")) == called.get(("document", "near"))
     store.drop("op", "evacuate/hall")
     for daemon in daemons:
         wait_for(lambda d=daemon: not d.core.services.evacuated)
 
 
-def test_a_target_that_drains_is_known_to_all(daemons, store):
+def test_draining_target_reaches_all_daemons(daemons, store):
     store.put("servers", "i-1", target_row(1, state="draining"))
     for daemon in daemons:
         wait_for(
@@ -120,39 +120,39 @@
         )
 
 
-def test_a_watcher_that_is_lost_is_replaced(daemons, store):
-    """Symptom: a zone hears of no change any more once its watcher is killed."""
-    (first,) = watching(daemons)
+def test_stopped_watcher_is_replaced(daemons, store):
+    """Guards against a zone that gets no updates after its watcher stopped."""
+    (first,) = active_watchers(daemons)
     first.stop()
     left = [daemon for daemon in daemons if daemon is not first]
     store.put("op", "config", configuration(9))
     store.drop("servers", "i-1")
-    all_know(left)
+    wait_for_targets(left)
     for daemon in left:
         wait_for(lambda d=daemon: d.core.services.revision == 9)
 
 
-def test_a_watcher_that_the_store_refuses_is_replaced(daemons, store, monkeypatch):
-    """Symptom: a zone stays behind while the store refuses one instance."""
-    (first,) = watching(daemons)
+def test_watcher_refused_by_store_is_replaced(daemons, store, monkeypatch):
+    """Guards against a zone without updates while the store refuses its watcher."""
+    (first,) = active_watchers(daemons)
     refused = first.core.cluster.configuration.rules_feed.store
-    since = TableFeed.since
+    since = TableFeed.wait_for_changes
 
     def refuse(feed, version, wait_s):
         if feed.store is refused:
             return Error(FeedUnavailable("refused"))
         return since(feed, version, wait_s)
 
-    monkeypatch.setattr(TableFeed, "since", refuse)
-    # It ends the call that was made before.
+    monkeypatch.setattr(TableFeed, "wait_for_changes", refuse)
+    # This write ends the call that is waiting for changes.
     store.put("op", "config", configuration(9))
-    wait_for(lambda: watching(daemons) not in ([], [first]))
+    wait_for(lambda: active_watchers(daemons) not in ([], [first]))
     store.put("op", "config", configuration(10))
     for daemon in daemons:
         wait_for(lambda d=daemon: d.core.services.revision == 10)
 
 
-def test_what_changed_in_an_outage_is_known_to_all_after_it(daemons, store):
+def test_changes_in_store_outage_reach_all_daemons_after_it(daemons, store):
     store.down = 503
     store.put("op", "config", configuration(9))
     wait_for(lambda: any(failed_calls(daemon) for daemon in daemons))
@@ -160,7 +160,7 @@
     store.down = None
     for daemon in daemons:
         wait_for(lambda d=daemon: d.core.services.revision == 9)
-    all_know(daemons)
+    wait_for_targets(daemons)
 
 
 def failed_calls(daemon):
