--- a/packages/entry/src/cairnferry/entry/_ports.py
+++ b/packages/entry/src/cairnferry/entry/_ports.py
@@ -1,7 +1,7 @@
-"""Ports: what the daemon needs of the platform that it runs on.
+"""Ports: interfaces between the daemon and the platform that it runs on.
 
-The own interface and the adapter to another platform implement them, and the daemon
-cannot tell which one it was given.
+The default interface and the adapter to another platform implement them. The daemon
+does not depend on which of the two is in use.
 """
 
 import typing
@@ -16,15 +16,15 @@
 from cairnferry.records import Route, Service, Target
 
 
-class InForce(typing.Protocol):
-    """What a daemon says of the rules in force at it.
+class RulesStatus(typing.Protocol):
+    """State of the rules in force at a daemon.
 
     Attributes
     ----------
     revision : int
         Revision of the rules in force; 0 before the first.
     behind : object or None
-        Set once a revision was seen that cannot be applied.
+        Set once the daemon has seen a revision that it cannot apply.
     """
 
     revision: int
@@ -32,61 +32,61 @@
 
 
 class SharedTable(typing.Protocol):
-    """A table of which daemons tell each other.
+    """Table that daemons replicate from each other.
 
     Attributes
     ----------
     copy : TableReplica
-        What is held of it.
+        Local replica of the table.
     grace_left : float
-        Seconds for which rows that vanish are held.
+        Seconds for which rows that disappear are still kept.
     """
 
     copy: TableReplica
     grace_left: float
 
     def hold_for(self, seconds: float) -> None:
-        """Hold rows that vanish from now on, as the store was away until now."""
+        """Keep rows that disappear in the next `seconds`, after a store outage."""
 
-    def apply_update(self, news: TableUpdate) -> bool:
-        """Take in what another daemon told; tell whether that was newer."""
+    def apply_update(self, update: TableUpdate) -> bool:
+        """Apply an update from another daemon; return whether it was newer."""
 
 
-class Records(InForce, typing.Protocol):
-    """Brings rules and targets into force, from the platform or from a peer.
+class Records(RulesStatus, typing.Protocol):
+    """Applies rules and targets from the platform or from a peer.
 
     Attributes
     ----------
     tables : dict of str to SharedTable
-        Tables of which daemons tell each other.
+        Tables that daemons replicate from each other.
     """
 
     tables: dict[str, SharedTable]
 
     def tasks(self) -> list[Callable[[], None]]:
-        """Give the functions that run as long as the daemon does."""
+        """Return the functions that run as long as the daemon does."""
 
     def rows_from(self, first: int) -> list:
-        """Give the log of changes from a revision on, for a peer."""
+        """Return the change log from a revision on, for a peer."""
 
     def snapshot(self) -> bytes:
-        """Give the rules in force, for a peer."""
+        """Return the rules in force, for a peer."""
 
     def document_since(self, revision: int) -> DocumentNews:
-        """Give what a peer lacks of the rules that holds a revision."""
+        """Return the part of the rules that a peer at `revision` lacks."""
 
     def pull_from(self, link: PeerLink, offered: int) -> None:
-        """Fetch from a peer what it has and this daemon has not."""
+        """Fetch from a peer the revisions that this daemon lacks."""
 
 
 @attrs.frozen
 class FeedUnavailable:
-    """A call gave no answer, or one that says that nothing was done.
+    """A call got no answer, or an error answer that says that nothing was done.
 
     Attributes
     ----------
     reason : str
-        What was seen.
+        Description of the failure.
     """
 
     reason: str
@@ -94,32 +94,32 @@
 
 @attrs.frozen
 class HistoryLost:
-    """Changes since the version asked for are no longer kept: list again."""
+    """Changes since the requested version are no longer kept: list again."""
 
 
 FeedFault = FeedUnavailable | HistoryLost
 
 
 class ChangeFeed(typing.Protocol):
-    """A table of which rows can be listed and changes waited for."""
+    """Table whose rows can be listed and whose changes can be waited for."""
 
-    def everything(self) -> Result[Batch, FeedFault]:
+    def list_all(self) -> Result[Batch, FeedFault]:
         """List all rows."""
 
-    def since(self, version: int, wait_s: float) -> Result[Batch, FeedFault]:
-        """Wait for changes after a version, so long at most."""
+    def wait_for_changes(self, version: int, wait_s: float) -> Result[Batch, FeedFault]:
+        """Wait for changes after a version, for at most `wait_s` seconds."""
 
 
 @attrs.frozen
 class CallerLimits:
-    """What a caller may send, and how long it may take.
+    """Size and time limits of callers' requests.
 
     Attributes
     ----------
     head_bytes, body_bytes : int
-        Longest head and body of a request.
+        Maximum size of a request's head and body.
     head_s, idle_s : float
-        Seconds for a head to arrive, and between two requests.
+        Maximum time in seconds for a head to arrive, and between two requests.
     """
 
     head_bytes: int
@@ -135,13 +135,13 @@
     Attributes
     ----------
     revision : int
-        The revision.
+        Revision of the rules.
     services : tuple of Service
-        Services.
+        All services.
     routes : tuple of Route
-        Routes.
+        All routes.
     limits : CallerLimits
-        Limits of callers.
+        Limits of callers' requests.
     """
 
     revision: int
@@ -150,7 +150,7 @@
     limits: CallerLimits
 
     def check_references(self) -> Result["Rules", "DecodeFault"]:
-        """Give the rules if every route names services that there are."""
+        """Return the rules if every service that a route names exists."""
         names = {service.name for service in self.services}
         for route in self.routes:
             for name in route.service_names():
@@ -161,12 +161,12 @@
 
 @attrs.frozen
 class DecodeFault:
-    """A document that cannot be read.
+    """Error: a document that cannot be decoded.
 
     Attributes
     ----------
     where, reason : str
-        Part of the document, and what is wrong with it.
+        Part of the document, and the fault in it.
     """
 
     where: str
@@ -178,17 +178,17 @@
 
 @attrs.frozen
 class RecordDecoders:
-    """Turn the platform's documents into the internal form.
+    """Decoders of the platform's documents.
 
     Attributes
     ----------
     rules : callable
-        From the bytes of the one document that holds all rules.
+        Decodes the bytes of the one document that holds all rules.
     target : callable
-        From the name and the bytes of a target's row.
+        Decodes a target's row from its name and bytes.
     evacuated : callable
-        From the key of a row beside the rules: the availability zone that it evacuates,
-        or None.
+        Returns the availability zone that a row beside the rules evacuates, from the
+        row's key; None if it evacuates none.
     """
 
     rules: Callable[[bytes], Result[Rules, DecodeFault]]
@@ -198,7 +198,7 @@
 
 @attrs.frozen
 class EntryRow:
-    """An entry instance as the registry holds it.
+    """Row of an entry instance in the registry.
 
     Attributes
     ----------
@@ -206,9 +206,9 @@
         Name and availability zone.
     peer_address, caller_address : str
         "IP:port" for other daemons and for callers; a registry that the platform
-        keeps may not know the second.
+        maintains may lack the second.
     leaving : bool
-        Whether the platform is about to take the instance away.
+        Whether the platform is about to remove the instance.
     """
 
     name: str = attrs.field(validator=instance_of(str))
@@ -219,16 +219,16 @@
 
 
 @attrs.frozen
-class Enrolled:
-    """What the registry holds once this instance is in it.
+class RegistryContents:
+    """Contents of the registry.
 
     Attributes
     ----------
     key : bytes or None
-        Shared key of the daemons; None if the registry holds none, and they have it
-        from elsewhere.
+        Shared key of the daemons; None if the registry holds none and the daemons get
+        it from another source.
     entries : tuple of EntryRow
-        All instances that are enrolled, also those that are gone by now.
+        All enrolled instances, including those that are gone.
     """
 
     key: bytes | None
@@ -237,11 +237,11 @@
 
 @attrs.frozen
 class KeyExists:
-    """The registry holds a key already, so that nothing was written."""
+    """Error: the registry already holds a key, so nothing was written."""
 
 
 class Registry(typing.Protocol):
-    """Where entry instances find each other."""
+    """Registry through which entry instances find each other."""
 
     def write(self, me: EntryRow) -> Result[None, FeedFault]:
         """Write this instance's row."""
@@ -249,32 +249,36 @@
     def write_first(
         self, me: EntryRow, key: bytes
     ) -> Result[None, FeedFault | KeyExists]:
-        """Write this instance's row and the daemons' key, if there is no key yet."""
+        """Write this instance's row and the daemons' key if there is no key yet."""
 
     def restore_key(self, key: bytes) -> Result[None, FeedFault]:
         """Write the daemons' key again if it is known to be missing."""
 
     def write_all(self, entries: Collection[EntryRow]) -> Result[None, FeedFault]:
-        """Write the rows of instances that joined by this one, in few calls."""
+        """Write the rows of instances that joined through this one, in few calls."""
 
-    def read(self) -> Result[Enrolled, FeedFault]:
-        """Give what is there."""
+    def read(self) -> Result[RegistryContents, FeedFault]:
+        """Return the contents."""
 
     def remove(self, names: Collection[str]) -> Result[None, FeedFault]:
         """Remove the rows of instances that are gone.
 
-        A row that is written anew meanwhile stays: the call may be done seconds
-        after it was made, when the instance is back.
+        A row that is rewritten in the meantime stays, because the call may take
+        effect seconds after it was made, when the instance is back.
         """
 
 
 class BlockRows(typing.Protocol):
-    """Where blocks of requests that end targets outlive all daemons."""
+    """Persistent storage for blocks of requests that crash targets.
+
+    Blocks stored there survive the end of all daemons.
+    """
 
     def write(
         self, name: str, data: bytes | None, version: int
     ) -> Result[None, FeedFault]:
-        """Write a row, or remove it if there is no data.
+        """Write a row, or remove it if `data` is None.
 
-        Nothing is done unless the row still has the version; 0 if it must not be there.
+        Nothing is done unless the row still has this version; version 0 means that the
+        row must not exist.
         """
--- a/packages/entry/src/cairnferry/entry/adapter.py
+++ b/packages/entry/src/cairnferry/entry/adapter.py
@@ -1,7 +1,7 @@
-"""What an adapter to a platform builds the daemon from.
+"""Public names from which an adapter to a platform builds the daemon.
 
-It stands beside the package's own `__init__` since it imports modules that use
-sockets: a program patches these first.
+They are not exported by the package's `__init__`, because this module imports modules
+that use sockets, and a program must apply gevent's patches before that.
 """
 
 from cairnferry.coordination import MAX_ERA, Batch, Row, era_of, stamp, version_of
@@ -9,7 +9,6 @@
     CallerLimits,
     ChangeFeed,
     DecodeFault,
-    Enrolled,
     EntryRow,
     FeedFault,
     FeedUnavailable,
@@ -17,6 +16,7 @@
     KeyExists,
     RecordDecoders,
     Registry,
+    RegistryContents,
     Rules,
 )
 from cairnferry.entry.callers import BodyLimits
@@ -40,7 +40,7 @@
 from cairnferry.entry.http import (
     HANDLER_KEY,
     FieldNames,
-    Limits,
+    ListenerLimits,
     Page,
     PagesApp,
     RequestHead,
@@ -76,7 +76,6 @@
     "Core",
     "CoreSettings",
     "DecodeFault",
-    "Enrolled",
     "Enrolment",
     "EntryRow",
     "FeedFault",
@@ -84,18 +83,19 @@
     "FieldNames",
     "FollowedInstances",
     "FollowedRecords",
+    "HandoverClient",
     "HistoryLost",
     "Joiner",
     "KeyExists",
     "LeavingTimes",
     "LimitFault",
-    "Limits",
-    "HandoverClient",
+    "ListenerLimits",
     "Page",
     "PagesApp",
     "PeerSettings",
     "RecordDecoders",
     "Registry",
+    "RegistryContents",
     "RequestHead",
     "Row",
     "Rules",
@@ -107,9 +107,9 @@
     "era_of",
     "lost_result",
     "not_run_result",
+    "read_advisory",
     "read_limit",
     "read_request_head",
-    "read_advisory",
     "stamp",
     "version_of",
 ]
--- a/packages/entry/src/cairnferry/entry/command.py
+++ b/packages/entry/src/cairnferry/entry/command.py
@@ -1,6 +1,6 @@
 """Command line of the daemon."""
 
-# The patches must come before any module that uses sockets is imported.
+# Patch before any module that uses sockets is imported.
 from gevent import monkey
 
 monkey.patch_all()
@@ -24,14 +24,14 @@
 @cappa.command(name="cairnferryd", help="Daemon of an entry instance.")
 @attrs.define
 class Cairnferryd:
-    """Options of the daemon; see `help` of each."""
+    """Options of the daemon; `help` describes each."""
 
     config: typing.Annotated[
         str | None, cappa.Arg(short="-c", long="--config", help="INI file")
     ] = None
     set: typing.Annotated[
         list[str],
-        cappa.Arg(long="--set", help="section.key=value; goes before the file"),
+        cappa.Arg(long="--set", help="section.key=value; overrides the file"),
     ] = attrs.field(factory=list)
     check: typing.Annotated[
         bool, cappa.Arg(long="--check", help="check the settings and exit")
@@ -69,7 +69,7 @@
     try:
         return daemon.run()
     except OSError as exc:
-        # An address that is in use, or not one of this machine.
+        # The address is in use or does not belong to this machine.
         print(f"cairnferryd: cannot listen: {exc}", file=sys.stderr)
         return EXIT_SETTINGS
 
--- a/packages/entry/src/cairnferry/entry/http/__init__.py
+++ b/packages/entry/src/cairnferry/entry/http/__init__.py
@@ -1,11 +1,11 @@
-"""HTTP towards callers: listeners, heads, pipelines, own answers and small pages."""
+"""HTTP server side: listeners, headers, pipelining, local answers and small pages."""
 
 from cairnferry.entry.http._answers import (
     Answer,
     Problem,
-    not_run,
+    not_run_answer,
     problem_answer,
-    unknown,
+    unknown_answer,
 )
 from cairnferry.entry.http._headers import (
     ATTEMPT_HEADER,
@@ -20,7 +20,7 @@
     HANDLER_KEY,
     BadRequest,
     HttpServer,
-    Limits,
+    ListenerLimits,
 )
 from cairnferry.entry.http._pipeline import CallerGone
 from cairnferry.entry.http._pipelined_server import PipelinedHandler, PipelinedServer
@@ -36,7 +36,7 @@
     "HANDLER_KEY",
     "HttpServer",
     "JSON",
-    "Limits",
+    "ListenerLimits",
     "Page",
     "PagesApp",
     "PipelinedHandler",
@@ -46,8 +46,8 @@
     "TEXT",
     "TIMEOUT_HEADER",
     "answer_headers",
-    "not_run",
+    "not_run_answer",
     "problem_answer",
     "read_request_head",
-    "unknown",
+    "unknown_answer",
 ]
--- a/packages/entry/src/cairnferry/entry/http/_answers.py
+++ b/packages/entry/src/cairnferry/entry/http/_answers.py
@@ -1,8 +1,8 @@
-"""Answers that the system makes itself.
+"""Answers that the load balancer generates itself.
 
-The body is problem details (RFC 9457), Proxy-Status (RFC 9209) names the cause,
-Retry-After (RFC 9110) says when to come back. Cairnferry-Outcome says what is
-known of the request: no published header does.
+The body contains problem details (RFC 9457), Proxy-Status (RFC 9209) names the cause,
+and Retry-After (RFC 9110) says when to retry. Cairnferry-Outcome says whether the
+request may have run, for which there is no standard header.
 """
 
 import enum
@@ -19,17 +19,17 @@
 
 
 class RequestOutcome(enum.StrEnum):
-    """What is known of a request that got no answer of a target."""
+    """Whether a request without an answer from a target may have run."""
 
     NOT_RUN = "not-run"
     UNKNOWN = "unknown"
 
 
 class Problem(enum.Enum):
-    """Faults that are found before a service is chosen.
+    """Faults that are found before a service is selected.
 
-    Values are the HTTP status, its phrase, the name of the fault, the error
-    type of Proxy-Status and the seconds of Retry-After.
+    Values are the HTTP status, its reason phrase, the name of the fault, the error
+    type of Proxy-Status, and the seconds of Retry-After or None.
     """
 
     MALFORMED = (400, "Bad Request", "malformed", "http_request_error", None)
@@ -75,7 +75,7 @@
         "Service Unavailable",
         "not-ready",
         "destination_unavailable",
-        # Depends on whether other instances are ready.
+        # Retry-After depends on whether other instances are ready.
         None,
     )
     TOO_MANY_CONNECTIONS = (
@@ -88,7 +88,7 @@
 
     @property
     def status_line(self) -> str:
-        """Status and phrase."""
+        """Status code and reason phrase."""
         return f"{self.value[0]} {self.value[1]}"
 
 
@@ -99,15 +99,15 @@
     Attributes
     ----------
     status : str
-        Status and phrase.
+        Status code and reason phrase.
     headers : list of (str, str)
-        Without Content-Length.
+        Headers other than Content-Length.
     body : bytes
-        Whole body.
+        The whole body.
     length : int or None
-        Value of Content-Length; None leaves it out.
+        Value of Content-Length; None omits the header.
     retry_after : float or None
-        When to come back, in seconds.
+        Delay before a retry, in seconds.
     """
 
     status: str
@@ -140,35 +140,39 @@
 _UNKNOWN_DEFAULT = ("502 Bad Gateway", "http_response_incomplete")
 
 
-def not_run(cause: Cause, retry_after: float) -> Answer:
-    """Tell that the request was not run anywhere."""
+def not_run_answer(cause: Cause, retry_after: float) -> Answer:
+    """Return the answer for a request that no target has run."""
     error = _NOT_RUN_CAUSES[cause]
     status = "503 Service Unavailable"
-    return _own(status, str(cause), error, RequestOutcome.NOT_RUN, retry_after)
+    return _make_answer(status, str(cause), error, RequestOutcome.NOT_RUN, retry_after)
 
 
-def unknown(cause: Cause, retry_after: float) -> Answer:
-    """Tell that it is unknown whether the request ran."""
+def unknown_answer(cause: Cause, retry_after: float) -> Answer:
+    """Return the answer for a request that may or may not have run."""
     status, error = _UNKNOWN_CAUSES.get(cause, _UNKNOWN_DEFAULT)
-    return _own(status, str(cause), error, RequestOutcome.UNKNOWN, retry_after)
+    return _make_answer(status, str(cause), error, RequestOutcome.UNKNOWN, retry_after)
 
 
 def problem_answer(problem: Problem, retry_after: float | None = None) -> Answer:
-    """Tell of a fault found before a service was chosen: not run.
+    """Return the answer for a fault found before a service was selected.
+
+    Such a request has not run.
 
     Parameters
     ----------
     problem : Problem
         The fault.
     retry_after : float, optional
-        When to come back, in seconds, where the fault itself does not say.
+        Delay before a retry, in seconds; the default is the delay of the fault.
     """
-    _, _, name, error, usual = problem.value
-    retry_after = usual if retry_after is None else retry_after
-    return _own(problem.status_line, name, error, RequestOutcome.NOT_RUN, retry_after)
+    _, _, name, error, default = problem.value
+    retry_after = default if retry_after is None else retry_after
+    return _make_answer(
+        problem.status_line, name, error, RequestOutcome.NOT_RUN, retry_after
+    )
 
 
-def _own(status, cause, error, outcome, retry_after):
+def _make_answer(status, cause, error, outcome, retry_after):
     document = {
         "type": f"urn:cairnferry:problem:{cause}",
         "title": status[4:],
@@ -182,14 +186,14 @@
         ("Proxy-Status", f"{PROXY_NAME}; error={error}"),
     ]
     if retry_after is not None:
-        whole = int(retry_after)
-        document["retry_after_s"] = whole if whole == retry_after else retry_after
+        seconds = int(retry_after)
+        document["retry_after_s"] = seconds if seconds == retry_after else retry_after
     body = json.dumps(document).encode()
     return Answer(status, headers, body, retry_after=retry_after)
 
 
 def encode_raw(problem: Problem) -> bytes:
-    """Encode a whole answer that ends its connection."""
+    """Encode a complete answer that ends its connection."""
     answer = problem_answer(problem)
     lines = [f"HTTP/1.1 {answer.status}"]
     lines += [f"{name}: {value}" for name, value in answer.headers]
--- a/packages/entry/src/cairnferry/entry/http/_head_fields.py
+++ b/packages/entry/src/cairnferry/entry/http/_head_fields.py
@@ -1,8 +1,8 @@
-"""Header fields of one request, as WSGI servers want them.
+"""Header fields of one request, with the interface that gevent's WSGI server expects.
 
-The standard library's parser is made for mail; it took an eighth of the
-daemon's processor time (see docs/design/0007-request-path.md). Here each line
-is one field, and what is ambiguous is refused instead of mended.
+The standard library's parser is designed for mail and took an eighth of the daemon's
+CPU time (see docs/design/0007-request-path.md). This parser accepts one field per line
+and rejects ambiguous lines instead of repairing them.
 """
 
 import re
@@ -12,11 +12,11 @@
 
 
 class MalformedField(ValueError):
-    """A header line that is no field, or a head that ends too early."""
+    """A header line that is not a valid field, or a head that ends too early."""
 
 
 class HeadFields:
-    """Fields in the order received; names compare without regard to case.
+    """Fields in the order received; names are case-insensitive.
 
     Parameters
     ----------
@@ -30,11 +30,11 @@
         self._pairs = pairs
 
     def get_all(self, name: str) -> list[str]:
-        """Give all values of a field; `name` in lower case."""
+        """Return all values of a field; `name` is in lower case."""
         return [value for key, value in self._pairs if key.lower() == name]
 
     def get(self, name: str, default=None):
-        """Give the first value of a field."""
+        """Return the first value of a field."""
         name = name.lower()
         for key, value in self._pairs:
             if key.lower() == name:
@@ -48,7 +48,7 @@
         self._pairs = [pair for pair in self._pairs if pair[0].lower() != name]
 
     def items(self) -> list[tuple[str, str]]:
-        """Give all fields."""
+        """Return all fields."""
         return self._pairs
 
     @property
@@ -58,23 +58,23 @@
 
     @property
     def headers(self):
-        """Fields as lines."""
+        """Fields as header lines."""
         return [f"{name}: {value}\r\n" for name, value in self._pairs]
 
 
 def read_fields(readline) -> HeadFields:
-    """Read header lines up to the empty one.
+    """Read header lines up to the empty line.
 
     Parameters
     ----------
     readline : callable
-        Gives the next line; bounds the whole head.
+        Returns the next line; limits the size of the whole head.
 
     Raises
     ------
     MalformedField
-        If a line is no field. A folded line is none: servers differ in what
-        they take it for.
+        If a line is not a valid field. Folded lines are rejected too, because servers
+        interpret them differently.
     """
     pairs = []
     while True:
--- a/packages/entry/src/cairnferry/entry/http/_headers.py
+++ b/packages/entry/src/cairnferry/entry/http/_headers.py
@@ -1,4 +1,4 @@
-"""Headers of requests and answers as they pass through."""
+"""Headers of forwarded requests and answers."""
 
 import re
 
@@ -12,10 +12,10 @@
 PRIORITY_HEADER = "priority"
 VIA = "1.1 cairnferry"
 MAX_TIMEOUT_MS = 600_000
-# Urgency of RFC 9218 from which a request counts as background work.
+# Lowest urgency value (RFC 9218) of requests that count as background work.
 BACKGROUND_URGENCY = 5
 
-# RFC 9110, section 7.6.1: these concern one connection only.
+# Headers that apply to one connection only (RFC 9110, section 7.6.1).
 _HOP_BY_HOP = frozenset(
     [
         "connection",
@@ -32,7 +32,8 @@
 _REPLACED_IN_REQUEST = frozenset(
     ["host", "content-length", "expect", TIMEOUT_HEADER, ATTEMPT_HEADER, "via"]
 )
-# The outcome is the system's word; a target's would be taken for it.
+# The outcome header is set by the load balancer only. A target's value could not be
+# distinguished from it.
 _REPLACED_IN_ANSWER = frozenset(["content-length", OUTCOME_HEADER, "via"])
 _URGENCY = re.compile(r"(?:^|,)\s*u=([0-7])\s*(?:,|\Z)")
 
@@ -43,30 +44,30 @@
 
 @attrs.frozen
 class RequestHead:
-    """What the headers of a request say to the system itself.
+    """Parsed headers of a request.
 
     Attributes
     ----------
     timeout_ms : int or None
-        Time that the caller gives the request, in milliseconds.
-    is_repeated : bool
-        Whether a layer above already repeats it.
+        Time limit that the caller sets for the request, in milliseconds.
+    is_retry : bool
+        Whether the request is already a retry by a layer above.
     priority : Priority or None
-        Class that the caller asks for.
+        Priority class that the caller requests.
     via : str
-        Value of the Via header to send on.
+        Value of the Via header to forward.
     forwarded : list of (str, str)
-        Headers to send on.
+        Headers to forward.
     request_id : str or None
         Identifies the request in logs and answers.
     host : str or None
-        Host that the caller named.
+        Value of the Host header.
     credentials : str or None
-        By which the caller proves who it is.
+        Value of the Authorization header.
     """
 
     timeout_ms: int | None
-    is_repeated: bool
+    is_retry: bool
     priority: Priority | None
     via: str
     forwarded: list[tuple[str, str]]
@@ -77,16 +78,16 @@
 
 @attrs.frozen
 class FieldNames:
-    """Names, in lower case, of the headers that speak to the system itself.
+    """Names, in lower case, of the request headers for the load balancer itself.
 
     Attributes
     ----------
     timeout : str
-        Time that the caller gives the request, in milliseconds.
+        Header with the time limit that the caller sets, in milliseconds.
     attempt : str or None
-        Number of the attempt of a layer above.
+        Header with the number of the attempt by a layer above.
     request_id : str or None
-        Identifies the request.
+        Header that identifies the request.
     """
 
     timeout: str
@@ -94,22 +95,23 @@
     request_id: str | None = None
 
 
-OWN_FIELDS = FieldNames(TIMEOUT_HEADER, ATTEMPT_HEADER)
+DEFAULT_FIELDS = FieldNames(TIMEOUT_HEADER, ATTEMPT_HEADER)
 
 
 def read_request_head(
-    pairs: list[tuple[str, str]], names: FieldNames = OWN_FIELDS
+    pairs: list[tuple[str, str]], names: FieldNames = DEFAULT_FIELDS
 ) -> RequestHead:
-    """Sort the headers of a request.
+    """Parse the headers of a request.
 
     Raises
     ------
     BadDeadline
-        If the deadline cannot be read. Ignoring it would run work too late.
+        If the deadline cannot be parsed. If it were ignored, the request could run
+        after its caller has given up.
     """
     found = {}
     forwarded = []
-    dropped = _named_by_connection(pairs)
+    dropped = _connection_options(pairs)
     for name, value in pairs:
         lower = name.lower()
         if lower in _HOP_BY_HOP or lower in dropped:
@@ -122,7 +124,7 @@
     via = found.get("via")
     return RequestHead(
         timeout_ms=None if timeout is None else _read_timeout(timeout),
-        is_repeated=found.get(names.attempt, "1").strip() != "1",
+        is_retry=found.get(names.attempt, "1").strip() != "1",
         priority=None if priority is None else _read_priority(priority),
         via=f"{via}, {VIA}" if via else VIA,
         forwarded=forwarded,
@@ -133,8 +135,8 @@
 
 
 def answer_headers(pairs: list[tuple[str, str]]) -> list[tuple[str, str]]:
-    """Give the headers of a target's answer that go on to the caller."""
-    dropped = _named_by_connection(pairs)
+    """Return the headers of a target's answer to relay to the caller."""
+    dropped = _connection_options(pairs)
     kept = []
     for name, value in pairs:
         lower = name.lower()
@@ -145,7 +147,7 @@
     return kept
 
 
-def _named_by_connection(pairs):
+def _connection_options(pairs):
     for name, value in pairs:
         if name.lower() == "connection":
             return {token.strip().lower() for token in value.split(",")}
--- a/packages/entry/src/cairnferry/entry/http/_http_server.py
+++ b/packages/entry/src/cairnferry/entry/http/_http_server.py
@@ -22,17 +22,17 @@
 
 
 @attrs.define
-class Limits:
+class ListenerLimits:
     """Limits of a listener; they may be changed while it runs.
 
     Attributes
     ----------
     max_connections : int
-        Connections at the same time.
+        Maximum number of simultaneous connections.
     idle_s, head_s : float
-        Seconds between requests, and for a head to arrive.
+        Maximum time in seconds between requests, and for a head to arrive.
     head_bytes : int
-        Longest head of a request.
+        Maximum size of a request's head in bytes.
     """
 
     max_connections: int
@@ -42,12 +42,12 @@
 
 
 class BadRequest(ValueError):
-    """A request whose framing is ambiguous, or whose head is too large.
+    """A request that is rejected before a service is selected.
 
     Parameters
     ----------
     problem : Problem
-        What to tell the caller.
+        Fault that is reported to the caller.
     """
 
     def __init__(self, problem):
@@ -56,16 +56,16 @@
 
 
 class _HeadReader:
-    """Reader of header lines that stops at a total size."""
+    """Reader of header lines that limits their total size."""
 
     def __init__(self, rfile, limit):
         self._rfile = rfile
-        self._left = limit
+        self._remaining = limit
 
     def readline(self):
-        line = self._rfile.readline(self._left + 1)
-        self._left -= len(line)
-        if self._left < 0:
+        line = self._rfile.readline(self._remaining + 1)
+        self._remaining -= len(line)
+        if self._remaining < 0:
             raise BadRequest(Problem.HEAD_TOO_LARGE)
         return line
 
@@ -75,14 +75,14 @@
 
     busy = False
 
-    def MessageClass(self, *args):  # noqa: N802 - the library's name
-        """Parse the header lines and refuse ambiguous framing.
+    def MessageClass(self, *args):  # noqa: N802 - name set by gevent
+        """Parse the header lines and reject ambiguous framing.
 
         Notes
         -----
-        Two lengths, or a length beside chunks, are read in one way here and
-        perhaps in another at the target. The rest of one request would be taken
-        for the next one, of another caller.
+        A target may interpret two lengths, or a length together with chunked coding,
+        in another way than this listener. It would then take the rest of one request
+        for the next request, of another caller (request smuggling).
         """
         try:
             message = read_fields(
@@ -101,7 +101,7 @@
         return message
 
     def read_requestline(self):
-        """Wait for the next request, at most for the idle time."""
+        """Wait for the next request, for at most the idle time."""
         self.busy = False
         self.socket.settimeout(self.server.limits.idle_s)
         line = super().read_requestline()
@@ -109,20 +109,20 @@
         return line
 
     def read_request(self, raw_requestline):
-        """Read the head, within its time."""
+        """Read the head within its time limit."""
         with gevent.Timeout(self.server.limits.head_s, BadRequest(Problem.SLOW_SENDER)):
-            good = super().read_request(raw_requestline)
+            is_valid = super().read_request(raw_requestline)
         if self.request_version not in ("HTTP/1.1", "HTTP/1.0"):
             raise BadRequest(Problem.AMBIGUOUS_FRAMING)
-        return good
+        return is_valid
 
     def get_environ(self):
-        """Give the handler itself; the applications here read it alone."""
+        """Return only the handler itself, as the applications use nothing else."""
         self.open_body()
         return {HANDLER_KEY: self}
 
     def open_body(self):
-        """Make the input from which the request's body is read."""
+        """Create the input stream of the request's body."""
         expects = self.headers.get("expect", "").lower() == "100-continue"
         self.wsgi_input = Input(
             self.rfile,
@@ -132,7 +132,7 @@
         )
 
     def header_pairs(self):
-        """Give the request's headers as received, in order."""
+        """Return the request's headers as received, in order."""
         return self.headers.items()
 
     def read_body(self, limit: int, seconds: float) -> bytes:
@@ -141,43 +141,44 @@
         Raises
         ------
         BadRequest
-            If it is longer than `limit` bytes or takes longer than `seconds`.
+            If the body is incomplete, is larger than `limit` bytes, or takes longer
+            than `seconds` to arrive.
         """
         if not self.content_length and not self.headers.get("transfer-encoding"):
             return b""
         if self.content_length and self.content_length > limit:
-            self._leave_body()
+            self._skip_body()
             raise BadRequest(Problem.BODY_TOO_LARGE)
         try:
             with gevent.Timeout(seconds, BadRequest(Problem.SLOW_SENDER)):
                 body = self.wsgi_input.read(limit + 1)
         except BadRequest:
-            self._leave_body()
+            self._skip_body()
             raise
         except OSError as exc:
-            self._leave_body()
+            self._skip_body()
             raise BadRequest(Problem.BODY_INCOMPLETE) from exc
         if len(body) > limit:
-            self._leave_body()
+            self._skip_body()
             raise BadRequest(Problem.BODY_TOO_LARGE)
         return body
 
-    def _leave_body(self):
-        """Close after the answer instead of reading a body that is not wanted."""
+    def _skip_body(self):
+        """Close the connection after the answer instead of reading the body."""
         self.close_connection = True
         self.wsgi_input = Input(self.rfile, 0)
 
     def is_last(self) -> bool:
-        """Tell whether the connection is to end with this answer."""
+        """Return whether the connection ends with this answer."""
         return self.server.closing
 
     def finalize_headers(self):
-        """Tell the caller when the connection ends with this answer."""
+        """Add `Connection: close` if the connection ends with this answer."""
         if self.is_last():
             self.close_connection = True
         if self.command == "HEAD" and self.provided_content_length is None:
-            # The length of a body that is not sent is not known; without this
-            # it would be told as 0.
+            # The length of the body that a GET would return is unknown here; gevent
+            # would otherwise send a Content-Length of 0.
             self.provided_content_length = ""
         super().finalize_headers()
         if self.close_connection and self.request_version == "HTTP/1.1":
@@ -190,19 +191,19 @@
         return problem.status_line, encode_raw(problem)
 
     def log_request(self):
-        """Leave it out: decisions are logged where they are made."""
+        """Log nothing, as decisions are logged where they are made."""
 
 
 class HttpServer(WSGIServer):
-    """Listener whose connections are counted, bounded and closed in order.
+    """Listener that counts, limits and gracefully closes its connections.
 
     Parameters
     ----------
     address : tuple of (str, int)
-        Where to listen.
+        Address on which to listen.
     application : callable
         WSGI application.
-    limits : Limits
+    limits : ListenerLimits
         Limits of connections.
     """
 
@@ -236,7 +237,7 @@
             self._handlers.discard(handler)
 
     def _refuse(self, sock):
-        # Left in the backlog the caller would wait and learn nothing.
+        # A caller that stays in the backlog would wait without an answer.
         self.refused_connections += 1
         try:
             sock.settimeout(self.limits.head_s)
@@ -248,39 +249,40 @@
 
     @property
     def connections(self) -> int:
-        """Open connections."""
+        """Number of open connections."""
         return len(self._handlers)
 
     @property
     def busy(self) -> int:
-        """Connections with a request in progress."""
+        """Number of connections with a request in progress."""
         return sum(handler.busy for handler in self._handlers)
 
-    def announce_end(self) -> None:
-        """Serve on, and end each connection with its next answer.
+    def start_closing(self) -> None:
+        """Continue to serve, and end each connection with its next answer.
 
-        Left open, connections would be closed all at once at the end, when some of
-        them carry a request that has not been read yet and has to be sent anew.
+        Otherwise all connections would be closed at once at the end. Some of them
+        would then carry a request that is not read yet, and the caller would have to
+        resend it.
         """
         self.closing = True
 
     def finish(self, seconds: float) -> bool:
-        """Take no new connections, end idle ones and wait for the others.
+        """Accept no new connections, close idle ones and wait for the others.
 
         Parameters
         ----------
         seconds : float
-            Longest time to wait.
+            Maximum time to wait.
 
         Returns
         -------
         bool
             Whether every request in progress was answered.
         """
-        self.announce_end()
-        # Connections that the kernel has taken are served. One that it took
-        # later would wait for an answer that nobody gives, so that the listener
-        # is closed, not just left alone: callers are refused and go elsewhere.
+        self.start_closing()
+        # Connections that the kernel has accepted are served. One accepted later would
+        # wait for an answer that never comes. The listener is therefore closed, so that
+        # callers are refused and try another instance.
         gevent.sleep(0)
         self.close()
         with gevent.Timeout(seconds, False):
@@ -291,17 +293,17 @@
         return unanswered == 0
 
     def _close_idle(self):
-        """Close idle connections; give back how many are left.
+        """Close idle connections; return the number of connections left.
 
-        Tasks are counted and not handlers: one that has just been started for a
-        connection has no handler yet, and would be killed as soon as it has.
+        Tasks are counted instead of handlers: a task that was just started for a
+        connection has no handler yet, and would be killed in the middle of its request.
         """
         for handler in list(self._handlers):
             sock = handler.socket
-            # A request that is just arriving is answered, not cut.
+            # A connection on which a request is arriving stays open.
             if not handler.busy and sock is not None and is_quiet(sock):
-                # A plain close would do nothing while the reader holds it open,
-                # and the daemon would wait for it to the limit.
+                # `close` has no effect while the reader still uses the socket, and the
+                # daemon would wait for the connection until the time limit.
                 with contextlib.suppress(OSError):
                     sock.shutdown(SHUT_RDWR)
         return len(self.pool)
--- a/packages/entry/src/cairnferry/entry/http/_pipeline.py
+++ b/packages/entry/src/cairnferry/entry/http/_pipeline.py
@@ -1,9 +1,9 @@
-"""Requests of one connection that run side by side, and the order of their answers.
+"""Concurrent requests of one connection, and the order of their answers.
 
-A caller may send further requests before the first one was answered. Read one after
-the other, each would wait for the answer of the one before it, though another target
-could run it meanwhile: the median of a class whose callers do so was 3 to 6 ms higher,
-of some 120 (docs/design/0012-pipelining.md).
+A caller may send further requests before the first one is answered. If they were read
+only after that answer, each would wait for the one before it although another target
+could run it: the median latency of a class whose callers do so was 3 to 6 ms higher,
+of some 120 ms (docs/design/0012-pipelining.md).
 """
 
 import errno
@@ -14,28 +14,28 @@
 import gevent
 from gevent.event import Event
 
-# Requests of one connection that are read and not answered yet. A caller that sends
-# more, or does not read its answers, is not read from until some are answered, so that
-# it stalls itself alone.
+# Requests of one connection that are read and not yet answered. Reading from a caller
+# that sends more, or that does not read its answers, stops until some are answered, so
+# that such a caller delays only itself.
 MAX_UNANSWERED = 32
-# Bytes of heads and bodies that these may hold together.
+# Total size in bytes of the heads and bodies of these requests.
 MAX_UNANSWERED_BYTES = 256 * 1024
-# The same for all connections of a listener, beside the first request of each. An
-# instance has some 200 MB and a thousand connections.
-MAX_AHEAD = 2000
-MAX_AHEAD_BYTES = 16 * 1024 * 1024
+# The same limits for all connections of a listener together, not counting the first
+# request of each. An instance has some 200 MB of memory and a thousand connections.
+MAX_REQUESTS_AHEAD = 2000
+MAX_BYTES_AHEAD = 16 * 1024 * 1024
 
 
 class CallerGone(Exception):
-    """The caller closed its connection before it had its answer."""
+    """The caller closed its connection before it received its answer."""
 
 
 class ConnectionEnds(BaseException):
-    """Ends the reading of a connection of which the last answer was written."""
+    """Ends the reading of a connection whose last answer was written."""
 
 
 class AnswerNotSent(OSError):
-    """An answer cannot be sent: its connection ended with an earlier one."""
+    """An answer cannot be sent, because the connection ended with an earlier one."""
 
     def __init__(self):
         super().__init__(errno.EPIPE, "the connection has ended")
@@ -43,35 +43,35 @@
 
 @attrs.define
 class Lookahead:
-    """Requests that a listener has read while earlier ones of a connection run.
+    """Requests that a listener has read while earlier ones of their connection run.
 
-    Without a common limit many callers that each send a few would fill the memory
-    of a small instance, which ends all its connections at once.
+    Without a common limit, many callers that send a few requests each could exhaust
+    the memory of a small instance, which would end all of its connections at once.
 
     Attributes
     ----------
     requests, size : int
-        How many there are, and their bytes.
+        Current number of such requests, and their total size in bytes.
     total : int
-        How many there have been since the start.
+        Number of such requests since the start.
     """
 
     requests: int = 0
     size: int = 0
     total: int = 0
 
-    def has_room(self) -> bool:
-        """Tell whether one more may be read."""
-        return self.requests < MAX_AHEAD and self.size < MAX_AHEAD_BYTES
+    def has_capacity(self) -> bool:
+        """Return whether one more request may be read."""
+        return self.requests < MAX_REQUESTS_AHEAD and self.size < MAX_BYTES_AHEAD
 
-    def take(self, size: int) -> None:
+    def add(self, size: int) -> None:
         """Count a request that was read ahead."""
         self.requests += 1
         self.size += size
         self.total += 1
 
-    def give_back(self, size: int) -> None:
-        """Count one that ended."""
+    def remove(self, size: int) -> None:
+        """Subtract a finished request from the count."""
         self.requests -= 1
         self.size -= size
 
@@ -84,18 +84,18 @@
     ----------
     handler : Handler
         Runs the request and writes the answer.
-    may_run_beside : bool
-        Whether it may run while others of its connection do.
+    may_run_concurrently : bool
+        Whether the request may run while others of its connection do.
     size : int
-        Bytes of its head and body.
+        Size of its head and body in bytes.
     is_ahead : bool
-        Whether it was read while an earlier one was not answered.
+        Whether it was read while an earlier request was unanswered.
     is_cancellable : bool
-        Whether `CallerGone` may be raised in its task at this moment.
+        Whether `CallerGone` may currently be raised in its task.
     turn : Event
-        Set once all earlier requests are over.
+        Set once all earlier requests are finished.
     task : Greenlet or None
-        Runs it; None before it is started.
+        Task that runs the request; None before it is started.
     """
 
     handler: object
@@ -108,26 +108,27 @@
 
 
 class Pipeline:
-    """The unanswered requests of one connection, in the order in which they came.
+    """The unanswered requests of one connection, in the order of their arrival.
 
-    Idempotent ones run side by side. Any other waits until those before it are
-    answered, and those behind it wait for it: their order may matter to the caller.
+    Idempotent requests run concurrently. Any other request waits until those before it
+    are answered, and those after it wait for it, because the order may matter to the
+    caller.
 
     Parameters
     ----------
     lookahead : Lookahead
-        What all connections have read ahead.
+        Requests that all connections have read ahead.
 
     Attributes
     ----------
     idle_since : float
         Monotonic time in seconds of the last answer, or of the connection's start.
-    has_left : bool
-        Whether the caller is gone, so that nothing more is started.
-    has_ended : bool
+    is_caller_gone : bool
+        Whether the caller is gone, so that no further request is started.
+    is_finished : bool
         Whether the last answer of the connection was written.
-    was_used : bool
-        Whether the caller has sent a request ahead of an answer.
+    was_pipelined : bool
+        Whether the caller has sent a request before an earlier one was answered.
     """
 
     def __init__(self, lookahead: Lookahead):
@@ -135,46 +136,46 @@
         self._exchanges: deque[Exchange] = deque()
         self._size = 0
         self._reader = gevent.getcurrent()
-        # Only the reader waits for it, so that it may be cleared before each wait.
+        # Only the reader waits for this event, so it may be cleared before each wait.
         self._removed = Event()
         self.idle_since = time.monotonic()
-        self.has_left = False
-        self.has_ended = False
-        self.was_used = False
+        self.is_caller_gone = False
+        self.is_finished = False
+        self.was_pipelined = False
 
-    # -- the reader's side --------------------------------------------------------
+    # -- called by the reader -----------------------------------------------------
 
     @property
     def is_idle(self) -> bool:
-        """Whether every request that was read is over."""
+        """Whether every request that was read is finished."""
         return not self._exchanges
 
-    def wait_for_room(self) -> None:
+    def wait_for_capacity(self) -> None:
         """Wait until one more request may be read."""
-        while not self._has_room():
+        while not self._has_capacity():
             self._wait_for_removal()
 
     def wait_until_idle(self) -> None:
-        """Wait until every request that was read is over."""
+        """Wait until every request that was read is finished."""
         while self._exchanges:
             self._wait_for_removal()
 
-    def _has_room(self):
+    def _has_capacity(self):
         if not self._exchanges:
             return True
         if len(self._exchanges) >= MAX_UNANSWERED or self._size >= MAX_UNANSWERED_BYTES:
             return False
-        return self._lookahead.has_room()
+        return self._lookahead.has_capacity()
 
     def _wait_for_removal(self):
         self._removed.clear()
         self._removed.wait()
 
     def add(self, exchange: Exchange) -> None:
-        """Take in the next request, and start it if it may run now."""
+        """Append the next request, and start it if it may run now."""
         if self._exchanges:
-            exchange.is_ahead = self.was_used = True
-            self._lookahead.take(exchange.size)
+            exchange.is_ahead = self.was_pipelined = True
+            self._lookahead.add(exchange.size)
         else:
             exchange.turn.set()
         self._size += exchange.size
@@ -182,28 +183,28 @@
         self._start_next()
 
     def cancel(self) -> None:
-        """Give up all requests, as the caller has left.
+        """Cancel all requests, because the caller is gone.
 
-        Answers that are ready are still written: a caller may have closed its sending
-        side alone.
+        Answers that are ready are still written, because the caller may have closed
+        only its sending side.
         """
-        self.has_left = True
-        self._drop_waiting()
+        self.is_caller_gone = True
+        self._discard_unstarted()
         loop = gevent.get_hub().loop
         for exchange in self._exchanges:
             loop.run_callback(_cancel, exchange)
 
     def close(self) -> None:
-        """End what is left when the connection is closed."""
-        self.has_left = self.has_ended = True
-        self._drop_waiting()
+        """Discard or kill the remaining requests when the connection is closed."""
+        self.is_caller_gone = self.is_finished = True
+        self._discard_unstarted()
         for exchange in self._exchanges:
             exchange.task.kill(block=False)
 
-    # -- the requests' side -------------------------------------------------------
+    # -- called by the requests' tasks --------------------------------------------
 
     def wait_for_turn(self, exchange: Exchange) -> None:
-        """Wait until all earlier requests are over.
+        """Wait until all earlier requests are finished.
 
         Raises
         ------
@@ -211,15 +212,15 @@
             If the connection ended with one of them.
         """
         exchange.turn.wait()
-        if self.has_ended:
+        if self.is_finished:
             raise AnswerNotSent
 
     def is_last_started(self) -> bool:
-        """Tell whether no request behind the first one was started."""
+        """Return whether no request after the first one was started."""
         return len(self._exchanges) == 1 or self._exchanges[1].task is None
 
     def _start_next(self):
-        """Start what may run now."""
+        """Start the requests that may run now."""
         for index, exchange in enumerate(self._exchanges):
             if exchange.task is None:
                 if not self._may_start(index, exchange):
@@ -229,10 +230,10 @@
                 return
 
     def _may_start(self, index, exchange):
-        if self.has_left or self.has_ended:
+        if self.is_caller_gone or self.is_finished:
             return False
-        # A listener that ends starts nothing behind a request in progress: the
-        # answer of that one can then be the last, and the caller sends the rest anew.
+        # A listener that is closing starts nothing after a request in progress: its
+        # answer can then be the last one, and the caller resends the other requests.
         may_run_concurrently = (
             exchange.may_run_concurrently and not exchange.handler.server.closing
         )
@@ -248,8 +249,8 @@
     def _finish(self, exchange):
         self.idle_since = time.monotonic()
         self._remove(exchange)
-        if exchange.handler.close_connection and not self.has_ended:
-            self.has_ended = True
+        if exchange.handler.close_connection and not self.is_finished:
+            self.is_finished = True
             self.cancel()
             self._reader.kill(ConnectionEnds, block=False)
         self._start_next()
@@ -258,13 +259,13 @@
         self._exchanges.remove(exchange)
         self._size -= exchange.size
         if exchange.is_ahead:
-            self._lookahead.give_back(exchange.size)
+            self._lookahead.remove(exchange.size)
         if self._exchanges:
             self._exchanges[0].turn.set()
         self._removed.set()
 
-    def _drop_waiting(self):
-        """Forget the requests that were not started: callers send them anew."""
+    def _discard_unstarted(self):
+        """Discard the requests that were not started; callers resend them."""
         for exchange in list(self._exchanges):
             if exchange.task is None:
                 self._remove(exchange)
@@ -273,8 +274,8 @@
 def _cancel(exchange):
     """Raise `CallerGone` in a request's task; runs in the hub.
 
-    Looked at only here, since the task may have gone on meanwhile: raised while it
-    writes its answer, it would be taken for a fault of the program.
+    The flag is checked only here, because the task may have continued in the meantime.
+    An exception while it writes its answer would be treated as a program error.
     """
     if exchange.is_cancellable:
         exchange.task.throw(CallerGone)
--- a/packages/entry/src/cairnferry/entry/http/_pipelined_server.py
+++ b/packages/entry/src/cairnferry/entry/http/_pipelined_server.py
@@ -1,4 +1,4 @@
-"""Listener on whose connections requests may be sent ahead of answers."""
+"""Listener that supports HTTP/1.1 pipelining."""
 
 import contextlib
 import copy
@@ -25,27 +25,27 @@
     Pipeline,
 )
 
-# Bytes read at once, and in all, of what a caller sends behind its last request.
-DROPPED_BYTES = 16 * 1024
-MAX_DROPPED_BYTES = 1024 * 1024
-# Seconds for which input is dropped after the last answer, longer than the way there
-# and back. A connection that is closed with input left unread is reset, and the reset
-# may overtake the answer.
+# Bytes that are read at once, and in total, of the input after a caller's last request.
+DISCARD_READ_BYTES = 16 * 1024
+MAX_DISCARDED_BYTES = 1024 * 1024
+# Seconds for which input is discarded after the last answer, longer than a round trip.
+# A connection that is closed with unread input is reset, and the caller may see the
+# reset before the answer.
 LINGER_S = 0.5
 
 
 class PipelinedHandler(Handler):
-    """Reads the requests of a connection, and runs each in a task of its own.
+    """Reads the requests of a connection, and runs each in a separate task.
 
-    The handler itself only reads; a copy of it is made for each request, which holds
-    what was read and writes the answer.
+    The handler itself only reads. Each request gets a copy of the handler, which holds
+    the head and body that were read and writes the answer.
 
     Attributes
     ----------
     problem : Problem or None
-        Fault of the request, found while it was read.
+        Fault of the request that was found while it was read.
     body : bytes
-        Whole body.
+        The whole body.
     arrived : float
         Monotonic time in seconds at which the request began to arrive.
     """
@@ -62,48 +62,48 @@
 
     @property
     def busy(self) -> bool:
-        """Whether a request is being read or is not answered yet."""
+        """Whether a request is being read or is not yet answered."""
         return self._is_reading or not self._pipeline.is_idle
 
     # -- reading ------------------------------------------------------------------
 
     def handle(self):
-        """Serve the connection to its end."""
+        """Serve the connection until it ends."""
         try:
             super().handle()
         finally:
             self._pipeline.close()
 
     def handle_one_request(self):
-        """Read one request and hand it over; tell whether to go on."""
+        """Read one request and enqueue it; return whether to continue."""
         try:
-            self._pipeline.wait_for_room()
-            if not self._next_bytes():
-                return self._leave()
+            self._pipeline.wait_for_capacity()
+            if not self._wait_for_input():
+                return self._cancel_and_wait()
             self._is_reading = True
             try:
                 self._read_request()
-                self._hand_over()
+                self._enqueue_request()
             finally:
                 self._is_reading = False
-            return self._drop_rest() if self.close_connection else True
+            return self._discard_rest() if self.close_connection else True
         except ConnectionEnds:
             return self._linger()
         except OSError:
-            # The caller reset the connection, or is gone for good.
-            return self._leave()
+            # The caller reset the connection or is unreachable.
+            return self._cancel_and_wait()
 
-    def _leave(self):
-        """End it: the caller is gone, or was idle for too long."""
+    def _cancel_and_wait(self):
+        """End the connection: the caller is gone, or was idle for too long."""
         self._pipeline.cancel()
         self._pipeline.wait_until_idle()
 
-    def _next_bytes(self):
-        """Wait for the next request, up to the idle time; tell whether it comes.
+    def _wait_for_input(self):
+        """Wait for the next request, up to the idle time; return whether it came.
 
-        Reading goes on while requests are in progress: the end of the input is the
-        sign that the caller left, and without it they would hold slots of targets to
-        their end, just when slots are short.
+        Reading continues while requests are in progress, because only the end of the
+        input shows that the caller is gone. Otherwise its requests would occupy slots
+        of targets until they finish, at a time when slots are scarce.
         """
         while True:
             left = self._idle_left()
@@ -119,7 +119,7 @@
         return self._pipeline.idle_since + limit - time.monotonic()
 
     def _read_request(self):
-        """Read head and body; a fault becomes the request's answer, in its turn."""
+        """Read head and body; a fault is answered in the order of the requests."""
         self.arrived = time.monotonic()
         self.problem = None
         self.body = b""
@@ -128,8 +128,8 @@
         try:
             self._read_head()
             if self.headers.get("expect") is not None:
-                # The word to go on, written earlier, would be taken for an answer
-                # to a request before it.
+                # "100 Continue" is only sent after all earlier answers. The caller
+                # would otherwise take it for the answer to an earlier request.
                 self._pipeline.wait_until_idle()
             limits = self.server.application.limits
             self.body = self.read_body(limits.size, limits.seconds)
@@ -152,9 +152,9 @@
         self.request_version = "HTTP/1.1"
         self.close_connection = True
 
-    def _hand_over(self):
+    def _enqueue_request(self):
         request = copy.copy(self)
-        # The body was read: what follows in the input is the next request.
+        # The body has been read, so the next input is the next request.
         request.wsgi_input = Input(self.rfile, 0)
         request.environ = {HANDLER_KEY: request}
         request.application = self.server.application
@@ -166,27 +166,27 @@
         head = sum(len(name) + len(value) for name, value in self.header_pairs())
         return head + len(self.path or "") + len(self.body)
 
-    def _drop_rest(self):
-        """Drop what comes behind the last request, until that is answered.
+    def _discard_rest(self):
+        """Discard the input after the last request, until that request is answered.
 
-        Nothing behind an answer that ends the connection may be run: the caller
-        takes it for not read.
+        Requests after an answer that ends the connection must not run, because the
+        caller assumes that they were not read.
         """
-        dropped = 0
-        while dropped < MAX_DROPPED_BYTES:
-            data = self.rfile.read1(DROPPED_BYTES)
+        discarded = 0
+        while discarded < MAX_DISCARDED_BYTES:
+            data = self.rfile.read1(DISCARD_READ_BYTES)
             if not data:
-                return self._leave()
-            dropped += len(data)
+                return self._cancel_and_wait()
+            discarded += len(data)
         return self._pipeline.wait_until_idle()
 
     def _linger(self):
-        """Drop for a moment what the caller sent ahead and has to send anew."""
-        if not self._pipeline.was_used:
+        """Discard, for a short time, pipelined input that the caller has to resend."""
+        if not self._pipeline.was_pipelined:
             return
         with contextlib.suppress(OSError), gevent.Timeout(LINGER_S, False):
             self.socket.shutdown(SHUT_WR)
-            while self.rfile.read1(DROPPED_BYTES):
+            while self.rfile.read1(DISCARD_READ_BYTES):
                 pass
 
     # -- answering ----------------------------------------------------------------
@@ -194,7 +194,7 @@
     @contextlib.contextmanager
     def cancellable(self):
         """Raise `CallerGone` in this context once the caller is gone."""
-        if self._pipeline.has_left:
+        if self._pipeline.is_caller_gone:
             raise CallerGone
         self._exchange.is_cancellable = True
         try:
@@ -203,16 +203,17 @@
             self._exchange.is_cancellable = False
 
     def write(self, data):
-        """Write a part of the answer, once all earlier answers are written."""
+        """Write a part of the answer after all earlier answers."""
         self._pipeline.wait_for_turn(self._exchange)
         super().write(data)
 
     def is_last(self) -> bool:
-        """Tell whether the connection is to end with this answer."""
+        """Return whether the connection ends with this answer."""
         return super().is_last() and self._pipeline.is_last_started()
 
     def _sendall(self, data):
-        # A caller that does not read would hold its requests' memory for ever.
+        # Without a timeout, a caller that does not read its answers would occupy the
+        # memory of its requests forever.
         with gevent.Timeout(self.server.limits.idle_s, AnswerNotSent()):
             super()._sendall(data)
 
@@ -220,9 +221,9 @@
 class PipelinedServer(HttpServer):
     """Listener for callers.
 
-    Its application has `limits`, the limits of bodies, and a method
-    `may_run_concurrently`, which is called with each request that was read and tells
-    whether it may run while others of its connection do.
+    Its application has `limits`, the limits of request bodies, and a method
+    `may_run_concurrently`, which is called with each request that was read and returns
+    whether the request may run while others of its connection do.
     """
 
     handler_class = PipelinedHandler
--- a/packages/entry/src/cairnferry/entry/http/_small_apps.py
+++ b/packages/entry/src/cairnferry/entry/http/_small_apps.py
@@ -1,4 +1,4 @@
-"""Small WSGI applications beside the one that serves requests."""
+"""Small WSGI application that serves pages by path."""
 
 import json
 from collections.abc import Callable
@@ -8,7 +8,8 @@
 from cairnferry.entry.http._http_server import HANDLER_KEY, BadRequest
 
 JSON = "application/json"
-# Longest body of a form, and seconds for it to arrive: a row of an instance.
+# Maximum size in bytes of a POST body, which holds a row of an instance, and maximum
+# time in seconds for it to arrive.
 MAX_FORM_BYTES = 65536
 FORM_S = 5.0
 TEXT = "text/plain; version=0.0.4"
@@ -21,11 +22,11 @@
     Attributes
     ----------
     status : str
-        Status and phrase.
+        Status code and reason phrase.
     body : bytes
-        Whole body.
+        The whole body.
     content_type : str
-        Its type.
+        Media type of the body.
     """
 
     status: str
@@ -34,21 +35,21 @@
 
     @classmethod
     def of(cls, status: str, document) -> "Page":
-        """Write a document as JSON."""
+        """Return a page with a document as JSON."""
         return cls(status, json.dumps(document).encode(), JSON)
 
 
 @attrs.frozen
 class PagesApp:
-    """Serves pages by their path.
+    """Serves pages by path.
 
     Parameters
     ----------
     pages : dict of str to callable
-        From a path to what makes its page; called with the path and query as
+        Functions that return the page of a path; called with the path and query as
         received.
     forms : dict of str to callable, optional
-        From a path to what answers a POST there; called with its body.
+        Functions that answer a POST to a path; called with its body.
     """
 
     pages: dict[str, Callable[[str], Page]]
@@ -60,7 +61,7 @@
         url = handler.path
         path = url.partition("?")[0]
         if handler.command == "POST" and path in self.forms:
-            page = self._take_form(self.forms[path], handler)
+            page = self._answer_form(self.forms[path], handler)
         elif path in self.pages:
             page = self.pages[path](url)
         else:
@@ -72,7 +73,7 @@
         start_response(page.status, headers)
         return [page.body]
 
-    def _take_form(self, answer, handler):
+    def _answer_form(self, answer, handler):
         try:
             return answer(handler.read_body(MAX_FORM_BYTES, FORM_S))
         except BadRequest as exc:
--- a/packages/entry/src/cairnferry/entry/operators/__init__.py
+++ b/packages/entry/src/cairnferry/entry/operators/__init__.py
@@ -1,4 +1,4 @@
-"""The operators' listener, and changes on their way into the log."""
+"""Operators' HTTP interface, and the queue of submitted changes."""
 
 from cairnferry.entry.operators._operators import OperatorsApp, TokenFile
 from cairnferry.entry.operators._submissions import Submissions
--- a/packages/entry/src/cairnferry/entry/operators/_operators.py
+++ b/packages/entry/src/cairnferry/entry/operators/_operators.py
@@ -33,7 +33,7 @@
 
 SUBMIT_TIMEOUT_S = 10.0
 BODY_LIMITS = BodyLimits(size=4 * 1024 * 1024, seconds=10.0)
-MAX_TOKEN_FILE = 65536
+MAX_TOKEN_FILE_BYTES = 65536
 
 _STATUS_BY_ERROR = {
     MalformedChange: "400 Bad Request",
@@ -52,32 +52,32 @@
 
 @attrs.define
 class TokenFile:
-    """Tokens of operators, one on each line; read again for each request.
+    """File with operators' tokens, one per line; read again for each request.
 
     Parameters
     ----------
     path : str or None
-        The file; None lets everyone in.
+        Path of the file; None admits everyone.
     """
 
     path: str | None
 
     def admits(self, header: str | None) -> bool:
-        """Tell whether an Authorization header carries a known token."""
+        """Return whether an Authorization header contains a known token."""
         if self.path is None:
             return True
         scheme, _, token = (header or "").partition(" ")
         if scheme.lower() != "bearer":
             return False
-        given = token.strip().encode()
-        return any(hmac.compare_digest(given, known) for known in self._tokens())
+        received = token.strip().encode()
+        return any(hmac.compare_digest(received, known) for known in self._tokens())
 
     def _tokens(self):
         try:
             with open(self.path, "rb") as file:
-                lines = file.read(MAX_TOKEN_FILE).splitlines()
+                lines = file.read(MAX_TOKEN_FILE_BYTES).splitlines()
         except OSError:
-            # Without its tokens the listener admits nobody.
+            # If the file cannot be read, the listener admits nobody.
             return []
         return [line.strip() for line in lines if line.strip()]
 
@@ -89,23 +89,23 @@
     Parameters
     ----------
     configuration : Configuration
-        What is in force here.
+        Configuration in force at this daemon.
     submissions : Submissions
-        Takes changes.
+        Queue of submitted changes.
     tokens : TokenFile
-        Who may do so.
+        Tokens of the operators that are admitted.
     status : callable
-        Gives this daemon's view of all, as plain values.
+        Returns this daemon's view of the whole system, as plain values.
     dump : callable
-        Gives this daemon's state, as plain values.
+        Returns this daemon's state, as plain values.
     metrics : callable
-        Gives the metrics as text.
+        Returns the metrics as text.
     drain : callable
         Makes this daemon leave.
     blocked : callable
-        Gives the requests that are kept from targets, as plain values.
+        Returns the blocked requests, as plain values.
     unblock : callable
-        Lets one through again, by its digest; tells whether it was kept back.
+        Lifts the block of a request, by its digest; returns whether it was blocked.
     """
 
     configuration: Configuration
@@ -125,14 +125,14 @@
             answer = self._answer(handler)
         except BadRequest as exc:
             name = exc.problem.value[2]
-            answer = _json(exc.problem.status_line, {"error": name})
+            answer = _json_answer(exc.problem.status_line, {"error": name})
         headers = [*answer.headers, ("Content-Length", str(len(answer.body)))]
         start_response(answer.status, headers)
         return [answer.body] if handler.command != "HEAD" else []
 
     def _answer(self, handler):
         if not self.tokens.admits(handler.headers.get("authorization")):
-            return _json("401 Unauthorized", {"error": "unauthorized"})
+            return _json_answer("401 Unauthorized", {"error": "unauthorized"})
         url = urllib.parse.urlsplit(handler.path)
         parts = tuple(urllib.parse.unquote(p) for p in url.path.split("/")[1:])
         match handler.command, parts:
@@ -145,22 +145,22 @@
             case "GET", ("v1", "records", kind, name):
                 return self._record(kind, name)
             case "GET", ("v1", "status"):
-                return _json("200 OK", self.status())
+                return _json_answer("200 OK", self.status())
             case "GET", ("v1", "dump"):
-                return _json("200 OK", self.dump())
+                return _json_answer("200 OK", self.dump())
             case "GET", ("metrics",):
                 headers = [("Content-Type", "text/plain; version=0.0.4")]
                 return Answer("200 OK", headers, self.metrics().encode())
             case "GET", ("v1", "blocked"):
-                return _json("200 OK", {"blocked": self.blocked()})
+                return _json_answer("200 OK", {"blocked": self.blocked()})
             case "POST", ("v1", "blocked", content, "lift"):
                 if self.unblock(content):
-                    return _json("200 OK", {"state": "let through"})
-                return _json("404 Not Found", {"error": "not-blocked"})
+                    return _json_answer("200 OK", {"state": "let through"})
+                return _json_answer("404 Not Found", {"error": "not-blocked"})
             case "POST", ("v1", "drain"):
                 self.drain()
-                return _json("202 Accepted", {"state": "leaving"})
-        return _json("404 Not Found", {"error": "no-such-page"})
+                return _json_answer("202 Accepted", {"state": "leaving"})
+        return _json_answer("404 Not Found", {"error": "no-such-page"})
 
     def _submit(self, handler):
         body = handler.read_body(BODY_LIMITS.size, BODY_LIMITS.seconds)
@@ -170,11 +170,11 @@
             raise BadRequest(Problem.MALFORMED) from exc
         parsed = Change.from_json(document)
         if parsed.is_error():
-            return _refusal(parsed.error, None)
+            return _error_answer(parsed.error, None)
         change = parsed.ok
         result = self.submissions.submit(change, SUBMIT_TIMEOUT_S)
         if result.is_error():
-            return _refusal(result.error, change.change_id)
+            return _error_answer(result.error, change.change_id)
         match result.ok:
             case Appended(revision):
                 document = {
@@ -182,12 +182,12 @@
                     "revision": revision,
                     "change_id": change.change_id,
                 }
-                return _json("201 Created", document)
+                return _json_answer("201 Created", document)
 
     def _change_status(self, change_id):
         found = self.submissions.distribution.changes.status(change_id)
         if found.is_error():
-            return _refusal(OutcomeUnknown(found.error.reason), change_id)
+            return _error_answer(OutcomeUnknown(found.error.reason), change_id)
         revision = found.ok.revision
         outcome = "accepted" if revision is not None else "not-accepted-so-far"
         document = {
@@ -197,7 +197,7 @@
             "in_force_here": revision is not None
             and self.configuration.revision >= revision,
         }
-        return _json("200 OK", document)
+        return _json_answer("200 OK", document)
 
     def _records(self, query):
         kind = urllib.parse.parse_qs(query).get("kind", [None])[0]
@@ -210,16 +210,16 @@
                 if kind is None or key.kind == kind
             ],
         }
-        return _json("200 OK", document)
+        return _json_answer("200 OK", document)
 
     def _record(self, kind, name):
         if kind not in tuple(Kind):
-            return _json("404 Not Found", {"error": "no-such-kind"})
+            return _json_answer("404 Not Found", {"error": "no-such-kind"})
         key = RecordKey(Kind(kind), name)
         entry = self.configuration.records.entries.get(key)
         if entry is None:
-            return _json("404 Not Found", {"error": "no-such-record"})
-        return _json("200 OK", _record_json(key, entry))
+            return _json_answer("404 Not Found", {"error": "no-such-record"})
+        return _json_answer("200 OK", _record_json(key, entry))
 
 
 def _record_json(key, entry):
@@ -232,7 +232,7 @@
     }
 
 
-def _refusal(error, change_id):
+def _error_answer(error, change_id):
     document = {
         "outcome": "unknown" if isinstance(error, OutcomeUnknown) else "refused",
         "error": type(error).__name__,
@@ -241,9 +241,9 @@
     }
     if hasattr(error, "field"):
         document["field"] = error.field
-    return _json(_STATUS_BY_ERROR[type(error)], document)
+    return _json_answer(_STATUS_BY_ERROR[type(error)], document)
 
 
-def _json(status, document):
+def _json_answer(status, document):
     body = json.dumps(document, indent=1).encode() + b"\n"
     return Answer(status, [("Content-Type", "application/json")], body)
--- a/packages/entry/src/cairnferry/entry/operators/_submissions.py
+++ b/packages/entry/src/cairnferry/entry/operators/_submissions.py
@@ -1,4 +1,4 @@
-"""Changes that operators submit, on their way into the log."""
+"""Queue of the changes that operators submit."""
 
 import attrs
 import gevent
@@ -10,21 +10,21 @@
 from cairnferry.entry.changelog import ChangeLogSync, Configuration
 from cairnferry.records import Change
 
-MAX_GATHERED = 256
+MAX_GROUP_SIZE = 256
 
 
 @attrs.define
 class Submissions:
-    """Queue of submissions and the one task that commits them.
+    """Queue of submissions, and the single task that commits them.
 
     Parameters
     ----------
     distribution : ChangeLogSync
-        Brings this daemon up to the head before it checks a change.
+        Updates this daemon to the head of the log before a change is checked.
     configuration : Configuration
-        What is in force here.
+        Configuration in force at this daemon.
     on_accepted : callable
-        Called after a commit, to tell others at once.
+        Called after a commit, to notify other daemons at once.
     """
 
     distribution: ChangeLogSync
@@ -33,14 +33,14 @@
     _queue: Queue = attrs.field(factory=Queue)
 
     def submit(self, change: Change, timeout: float) -> Result:
-        """Wait for the outcome of a change.
+        """Submit a change and wait for its outcome.
 
         Parameters
         ----------
         change : Change
-            The change.
+            Change to submit.
         timeout : float
-            Seconds after which the outcome is called unknown.
+            Seconds after which the outcome is reported as unknown.
         """
         result = AsyncResult()
         self._queue.put(PendingChange(change.to_json(), result.set))
@@ -50,13 +50,13 @@
             return Error(OutcomeUnknown("no outcome in time"))
 
     def run(self) -> None:
-        """Commit what waits, group after group."""
+        """Commit the queued changes in groups."""
         group = GroupCommit(
             self.distribution.changes, self.distribution.refresh, self._begin
         )
         while True:
             waiting = [self._queue.get()]
-            while self._queue.qsize() and len(waiting) < MAX_GATHERED:
+            while self._queue.qsize() and len(waiting) < MAX_GROUP_SIZE:
                 waiting.append(self._queue.get())
             group.commit(waiting)
             self.on_accepted()
--- a/packages/entry/src/cairnferry/entry/telemetry/__init__.py
+++ b/packages/entry/src/cairnferry/entry/telemetry/__init__.py
@@ -1,12 +1,12 @@
-"""Logs and metrics: what a daemon tells of its work."""
+"""Logs and metrics of a daemon."""
 
 from cairnferry.entry.telemetry._exposition import render_metrics
-from cairnferry.entry.telemetry._faulty_rows import FaultyRows
+from cairnferry.entry.telemetry._faulty_rows import FaultyRowLog
 from cairnferry.entry.telemetry._logs import RateLimit, configure_logs, dropped_lines
 from cairnferry.entry.telemetry._metrics import Metrics
 
 __all__ = [
-    "FaultyRows",
+    "FaultyRowLog",
     "Metrics",
     "RateLimit",
     "configure_logs",
--- a/packages/entry/src/cairnferry/entry/telemetry/_exposition.py
+++ b/packages/entry/src/cairnferry/entry/telemetry/_exposition.py
@@ -1,4 +1,4 @@
-"""Metrics in the text format of Prometheus, made from a state dump."""
+"""Conversion of a state dump to metrics in the Prometheus text format."""
 
 from collections.abc import Iterator
 
@@ -7,16 +7,16 @@
 
 @attrs.frozen
 class Sample:
-    """One value of a family.
+    """One sample of a metric family.
 
     Attributes
     ----------
     value : float
-        The value.
+        Value of the sample.
     labels : dict of str to str
-        Labels.
+        Labels of the sample.
     suffix : str
-        Appended to the family's name, as histograms need.
+        Suffix of the family's name, used by histograms.
     """
 
     value: float
@@ -25,18 +25,18 @@
 
 
 def render_metrics(document: dict) -> str:
-    """Turn a state dump into lines of text.
+    """Convert a state dump to the text format.
 
     Parameters
     ----------
     document : dict
-        What `StateView.dump` gives.
+        State dump, as returned by `StateView.dump`.
     """
     lines = []
-    for name, sort, samples in _families(document):
+    for name, metric_type, samples in _families(document):
         rows = [_line(name, sample) for sample in samples]
         if rows:
-            lines += [f"# TYPE cairnferry_{name} {sort}", *rows]
+            lines += [f"# TYPE cairnferry_{name} {metric_type}", *rows]
     return "\n".join(lines) + "\n"
 
 
@@ -51,7 +51,7 @@
 
 
 def _families(document):
-    """Give name, sort and samples of each family."""
+    """Yield name, type and samples of each family."""
     metrics = document["metrics"]
     targets = document["connections"]["targets"]
     yield (
@@ -74,21 +74,21 @@
     yield "store_era", "gauge", [Sample(metrics["store_era"])]
     faulty = _counted(metrics["faulty_rows"], "table")
     yield "faulty_rows_total", "counter", faulty
-    ends = _counted(metrics["target_ends"], "service")
-    yield "targets_ended_total", "counter", ends
+    crashes = _counted(metrics["target_ends"], "service")
+    yield "targets_ended_total", "counter", crashes
     events = _counted(metrics["quarantine"], "event")
     yield "quarantine_events_total", "counter", events
-    words = _counted(metrics["limits"], "event")
-    yield "limit_events_total", "counter", words
+    limit_events = _counted(metrics["limits"], "event")
+    yield "limit_events_total", "counter", limit_events
     limits = document["limits"]
     yield "target_limit", "gauge", _by_target(limits, "per_s")
     yield "limited_requests_total", "counter", _by_target(limits, "sent")
-    heard = _counted(metrics["target_words"], "word")
-    yield "target_words_total", "counter", heard
-    asked = document["target_words"]
-    resting = [Sample(s, {"target": t}) for t, s in asked["resting_s"].items()]
-    yield "target_resting_seconds", "gauge", resting
-    leaving = [Sample(1, {"target": target}) for target in asked["leaving"]]
+    advisory_counts = _counted(metrics["target_words"], "word")
+    yield "target_words_total", "counter", advisory_counts
+    advisories = document["target_words"]
+    backing_off = [Sample(s, {"target": t}) for t, s in advisories["resting_s"].items()]
+    yield "target_resting_seconds", "gauge", backing_off
+    leaving = [Sample(1, {"target": target}) for target in advisories["leaving"]]
     yield "target_leaving", "gauge", leaving
     zones = [Sample(1, {"zone": zone}) for zone in document["evacuated"]]
     yield "zone_evacuated", "gauge", zones
@@ -121,7 +121,7 @@
 
 
 def _counted(counts, *names) -> Iterator[Sample]:
-    """Give a sample for each key, whose parts are separated by blanks."""
+    """Yield a sample for each key, whose parts are separated by spaces."""
     for key, count in counts.items():
         yield Sample(count, dict(zip(names, key.split(" "), strict=True)))
 
--- a/packages/entry/src/cairnferry/entry/telemetry/_faulty_rows.py
+++ b/packages/entry/src/cairnferry/entry/telemetry/_faulty_rows.py
@@ -1,4 +1,4 @@
-"""Rows of followed tables that cannot be read: counted, and told up to a rate."""
+"""Counting and rate-limited logging of table rows that cannot be decoded."""
 
 import logging
 
@@ -11,25 +11,26 @@
 
 
 @attrs.define
-class FaultyRows:
-    """Takes note of rows that another writer has made, or that are damaged.
+class FaultyRowLog:
+    """Counts and logs rows that are damaged or come from another writer.
 
-    Such a row names nothing to use, and the others hold. It shows in the log and in
-    the metrics alone; a line for each of many would fill the log.
+    Such a row is skipped, and the other rows stay in effect. Only the log and the
+    metrics show it. Log lines are limited in rate, so that many such rows don't flood
+    the log.
 
     Parameters
     ----------
     metrics : Metrics
-        Counts them.
+        Metrics in which the rows are counted.
     """
 
     metrics: Metrics
     _limit: RateLimit = attrs.field(factory=RateLimit)
 
     def note(self, table: str, row: str, why: str) -> None:
-        """Count a row, and write a line if the rate allows it."""
+        """Count a row, and log it if the rate limit allows it."""
         self.metrics.faulty_rows[table] += 1
         if self._limit.allows():
-            left_out = self._limit.take_left_out()
-            extra = {"table": table, "row": row, "why": why, "left_out": left_out}
+            suppressed = self._limit.take_suppressed()
+            extra = {"table": table, "row": row, "why": why, "left_out": suppressed}
             log.warning("row cannot be read", extra=extra)
--- a/packages/entry/src/cairnferry/entry/telemetry/_logs.py
+++ b/packages/entry/src/cairnferry/entry/telemetry/_logs.py
@@ -14,16 +14,16 @@
 
 
 def configure_logs(instance: str, debug: bool, stream=None) -> None:
-    """Send all logs to a stream, one JSON object a line.
+    """Send all logs to a stream, one JSON object per line.
 
     Parameters
     ----------
     instance : str
-        Named in each line.
+        Name of the instance, which is added to each line.
     debug : bool
-        Whether lines for debugging are written too.
+        Whether to log at debug level.
     stream : file, optional
-        Standard error if it is left out.
+        Stream to write to; the default is standard error.
     """
     formatter = JsonFormatter(
         "%(asctime)s %(levelname)s %(name)s %(message)s",
@@ -38,45 +38,45 @@
 
 
 def dropped_lines() -> int:
-    """Give the number of lines that found no room since the start."""
+    """Return the number of lines dropped since the start."""
     handlers = logging.getLogger().handlers
     return sum(each.dropped for each in handlers if isinstance(each, LineHandler))
 
 
 @attrs.define
 class RateLimit:
-    """Limit of log lines of one sort.
+    """Rate limit for log lines of one kind.
 
-    An overload gives one line a request. Written out, they would cost more than
-    the requests.
+    During an overload there is one line per request, and writing all of them would cost
+    more than the requests.
 
     Parameters
     ----------
     rate : float
-        Lines a second.
+        Lines per second.
     burst : float
-        Lines at once.
+        Lines that may be written at once.
     """
 
     rate: float = RATE
     burst: float = BURST
     _tokens: float = BURST
     _at: float = attrs.field(factory=time.monotonic)
-    _left_out: int = 0
+    _suppressed: int = 0
 
     def allows(self) -> bool:
-        """Tell whether a line may be written now."""
+        """Return whether a line may be written now."""
         now = time.monotonic()
         self._tokens = min(self.burst, self._tokens + (now - self._at) * self.rate)
         self._at = now
         if self._tokens < 1:
-            self._left_out += 1
+            self._suppressed += 1
             return False
         self._tokens -= 1
         return True
 
-    def take_left_out(self) -> int:
-        """Give the number of lines left out since the last one."""
-        left_out = self._left_out
-        self._left_out = 0
-        return left_out
+    def take_suppressed(self) -> int:
+        """Return the number of lines suppressed since the last call, and reset it."""
+        suppressed = self._suppressed
+        self._suppressed = 0
+        return suppressed
--- a/tests/entry/http/test_closing.py
+++ b/tests/entry/http/test_closing.py
@@ -1,10 +1,10 @@
-"""A listener that ends."""
+"""Closing of a listener."""
 
 import gevent
 import pytest
 from gevent import socket
 
-from cairnferry.entry.http._http_server import HttpServer, Limits
+from cairnferry.entry.http._http_server import HttpServer, ListenerLimits
 
 TURNS = 20
 REQUEST = b"GET / HTTP/1.1\r\nHost: x\r\n\r\n"
@@ -12,7 +12,7 @@
 
 @pytest.fixture
 def server():
-    """Give a listener whose answers take some turns of the loop."""
+    """Return a listener whose answers take several turns of the event loop."""
 
     def app(environ, start_response):
         for _ in range(TURNS):
@@ -20,14 +20,14 @@
         start_response("200 OK", [("Content-Length", "2")])
         return [b"ok"]
 
-    made = HttpServer(("127.0.0.1", 0), app, Limits(10, 60.0, 5.0))
+    made = HttpServer(("127.0.0.1", 0), app, ListenerLimits(10, 60.0, 5.0))
     made.start()
     yield made
     made.stop(timeout=0)
 
 
 def connected():
-    """Give both ends of a connection that no listener of the server has taken."""
+    """Return both ends of a connection that the server has not accepted itself."""
     with socket.socket() as listener:
         listener.bind(("127.0.0.1", 0))
         listener.listen()
@@ -36,34 +36,35 @@
     return near, far
 
 
-def test_a_connection_taken_at_the_last_moment_is_served(server, monkeypatch):
-    """Symptom: a caller of a daemon that stops gets 500 Internal Server Error.
+def test_connection_accepted_while_closing_is_served(server, monkeypatch):
+    """A caller of a stopping daemon got 500 Internal Server Error.
 
-    Events: the listener takes a connection in the turn in which it is closed, and its
-    task has not run yet. Cause: connections were counted once their tasks ran, so that
-    none seemed to be left, and the task was killed in the middle of its request.
+    The listener accepts a connection in the same turn of the event loop in which it is
+    closed, before the connection's task has run. Connections were only counted once
+    their tasks ran. None seemed to be left, and the task was killed in the middle of
+    its request.
     """
     near, far = connected()
     near.sendall(REQUEST)
     close = server.close
 
-    def take_one_and_close():
+    def accept_and_close():
         server.pool.spawn(server.handle, far, ("127.0.0.1", 1))
         close()
 
-    monkeypatch.setattr(server, "close", take_one_and_close)
+    monkeypatch.setattr(server, "close", accept_and_close)
     assert server.finish(30.0)
     answer = near.recv(1000)
     assert answer.startswith(b"HTTP/1.1 200 OK")
     assert b"Connection: close" in answer
 
 
-def test_announcing_the_end_closes_each_connection_with_its_next_answer(server):
+def test_start_closing_ends_each_connection_with_its_next_answer(server):
     address = ("127.0.0.1", server.server_port)
     with socket.create_connection(address) as conn:
         conn.sendall(REQUEST)
         assert b"close" not in conn.recv(1000)
-        server.announce_end()
+        server.start_closing()
         conn.sendall(REQUEST)
         assert b"Connection: close" in conn.recv(1000)
         assert conn.recv(1000) == b""
--- a/tests/entry/http/test_http_server.py
+++ b/tests/entry/http/test_http_server.py
@@ -1,4 +1,4 @@
-"""Bad and hostile input at the callers' listener: a typed error, no leak."""
+"""Malformed and hostile input at the callers' listener gets typed errors."""
 
 import random
 
@@ -27,9 +27,10 @@
 @pytest.mark.parametrize(
     ("data", "status", "cause"),
     [
-        # Symptom: the rest of one request is taken for another caller's. Events:
-        # a request has two lengths, or a length and chunks, or an odd coding.
-        # Cause: this side and the target may each read it in another way.
+        # Request smuggling: the rest of one request is taken for a request of another
+        # caller. This happens if a request has two lengths, a length together with
+        # chunks, or an unusual transfer coding, and the listener and the target
+        # interpret it differently.
         (
             POST + b"Content-Length: 1\r\nContent-Length: 2\r\n\r\nab",
             400,
@@ -68,7 +69,7 @@
         (GET + b"X: y", 408, "slow-sender"),
     ],
 )
-def test_bad_input_gets_a_typed_error_and_reaches_no_target(
+def test_malformed_input_gets_typed_error_and_reaches_no_target(
     data, status, cause, entry, target
 ):
     answer = entry.raw(data)
@@ -79,7 +80,7 @@
     wait_for(lambda: entry.server.connections == 0)
 
 
-def test_more_connections_than_allowed_are_refused_at_once(
+def test_connections_above_the_limit_are_refused_at_once(
     start_entry, records_for, target
 ):
     entry = start_entry(*records_for(target), max_connections=2)
@@ -91,16 +92,16 @@
     assert entry.call().status == 200
 
 
-def test_requests_on_one_connection_are_answered_in_order(entry):
+def test_pipelined_requests_are_answered_in_order(entry):
     data = b"".join(
         b"GET /s/%d HTTP/1.1\r\nX-Request-Id: r%d\r\n\r\n" % (i, i) for i in range(9)
     )
     answer = entry.raw(data + b"GET /s HTTP/1.1\r\nConnection: close\r\n\r\n")
-    places = [answer.index(b"r%d GET /s/%d " % (i, i)) for i in range(9)]
-    assert places == sorted(places)
+    positions = [answer.index(b"r%d GET /s/%d " % (i, i)) for i in range(9)]
+    assert positions == sorted(positions)
 
 
-def test_headers_of_one_connection_only_do_not_pass(start_entry, records_for):
+def test_hop_by_hop_headers_are_not_forwarded(start_entry, records_for):
     heads = []
 
     def handle(sock, address):
@@ -123,12 +124,12 @@
     assert b"TE:" not in heads[0]
     assert reply.header("x-public") == "1"
     assert reply.header("x-private") is None
-    # A target must not be able to speak for the system.
+    # A target must not be able to set the load balancer's own header.
     assert reply.header("cairnferry-outcome") is None
 
 
-def test_any_bytes_leave_the_listener_sound(entry, read_to_end):
-    """Fuzz with a fixed seed: mutated requests, each on its own connection."""
+def test_listener_survives_random_bytes(entry, read_to_end):
+    """Fuzz test with a fixed seed: mutated requests, each on a separate connection."""
     rng = random.Random(11)
     seeds = [
         GET + b"\r\n",
@@ -138,8 +139,10 @@
     for _ in range(FUZZ_ROUNDS):
         data = bytearray(rng.choice(seeds))
         for _ in range(rng.randrange(1, 6)):
-            place = rng.randrange(len(data))
-            data[place : place + rng.randrange(3)] = rng.randbytes(rng.randrange(4))
+            position = rng.randrange(len(data))
+            data[position : position + rng.randrange(3)] = rng.randbytes(
+                rng.randrange(4)
+            )
         with gevent.socket.create_connection(("127.0.0.1", entry.port)) as sock:
             sock.sendall(bytes(data))
             sock.shutdown(gevent.socket.SHUT_WR)
--- a/tests/entry/http/test_pipelining.py
+++ b/tests/entry/http/test_pipelining.py
@@ -1,4 +1,4 @@
-"""Requests that callers send ahead of answers: side by side, and answered in order."""
+"""Pipelined requests: run concurrently, and answered in order."""
 
 import contextlib
 import types
@@ -16,15 +16,15 @@
 
 
 class HeldTarget:
-    """A target that notes each request, and answers those that are not held back.
+    """A target that records each request and can delay its answers.
 
-    A path that contains "/held" is answered once `release` was called for it.
+    A request whose path contains "/held" is answered once `release` is called for it.
     """
 
     def __init__(self):
         self.behaviour = types.SimpleNamespace(slots=64)
         self.seen = []
-        self.left = []
+        self.disconnected = []
         self._gates = {}
         self._server = StreamServer((HOST, 0), self._serve)
         self._server.start()
@@ -65,7 +65,7 @@
         watch = gevent.spawn(sock.recv, 1)
         gevent.wait([gate, watch], count=1)
         if watch.ready():
-            self.left.append(path)
+            self.disconnected.append(path)
             raise ConnectionAbortedError
         watch.kill()
 
@@ -103,17 +103,17 @@
 
 
 def bodies(received):
-    """Give the paths that the answers name, in their order."""
+    """Return the paths in the bodies of the answers, in order."""
     return [part.split(b">")[0].decode() for part in received.split(b"<")[1:]]
 
 
-def test_idempotent_requests_run_side_by_side_and_are_answered_in_order(
+def test_idempotent_requests_run_concurrently_and_are_answered_in_order(
     caller, target, read_until
 ):
-    """Symptom: a caller's further requests wait for the answer to the one before.
+    """Each request of a caller waited for the answer to the one before it.
 
-    Events: three requests come in one packet, and the later ones are done first.
-    Cause: the next request was read only when the one before it was answered.
+    Three requests come in one packet, and the later ones finish first. A request was
+    only read once the one before it was answered.
     """
     paths = ["/s/held/0", "/s/held/1", "/s/2"]
     caller.sendall(b"".join(get(path) for path in paths))
@@ -123,12 +123,13 @@
     assert bodies(read_until(caller, b"</s/2>")) == paths
 
 
-def test_one_that_is_not_idempotent_waits_and_holds_those_behind_it(
+def test_non_idempotent_request_waits_and_delays_those_after_it(
     caller, target, read_until
 ):
-    """Symptom: a purchase runs before the look-up that the caller sent before it.
+    """A purchase must not run before a look-up that the caller sent earlier.
 
-    Cause: the order of requests that change something would be lost.
+    If such requests ran concurrently, the order of those that change something would
+    be lost.
     """
     paths = ["/s/held/0", "/s/held/1", "/s/2"]
     caller.sendall(get(paths[0]) + post(paths[1]) + get(paths[2]))
@@ -145,9 +146,12 @@
     assert bodies(read_until(caller, b"</s/2>")) == paths
 
 
-def test_nothing_behind_a_request_that_closes_is_run(caller, target, read_to_end):
-    """Symptom: a request runs twice. Cause: its caller takes what it sent behind an
-    answer that closes the connection for not read, and sends it again."""
+def test_requests_after_one_that_closes_do_not_run(caller, target, read_to_end):
+    """A request could run twice.
+
+    After an answer that closes the connection, the caller assumes that its later
+    requests were not read, and sends them again.
+    """
     data = get("/s/held/0") + get("/s/held/1", "Connection: close")
     caller.sendall(data + post("/s/2"))
     wait_for(lambda: len(target.seen) == 2)
@@ -159,17 +163,18 @@
     assert "/s/2" not in target.seen
 
 
-def test_what_was_passed_on_is_answered_before_a_listener_that_ends_closes(
+def test_forwarded_requests_are_answered_before_a_closing_listener_ends(
     entry, caller, target, read_to_end, read_until
 ):
-    """Symptom: a caller of a daemon that stops loses a request that has run.
+    """A caller of a stopping daemon lost the answer to a request that had run.
 
-    Events: two requests run and a purchase waits behind them when the daemon is told
-    to stop. Cause: the first answer announced the end, though another was to follow.
+    Two requests run and a purchase waits behind them when the daemon starts to stop.
+    The first answer announced the end of the connection although another one was to
+    follow.
     """
     caller.sendall(get("/s/held/0") + get("/s/held/1") + post("/s/2"))
     wait_for(lambda: len(target.seen) == 2)
-    entry.server.announce_end()
+    entry.server.start_closing()
     target.release("/s/held/0")
     first = read_until(caller, b"</s/held/0>")
     assert b"Connection: close" not in first
@@ -181,9 +186,7 @@
     assert entry.server.lookahead.requests == 0
 
 
-def test_a_listener_that_finishes_waits_for_all_requests(
-    entry, caller, target, read_until
-):
+def test_finish_waits_for_all_pipelined_requests(entry, caller, target, read_until):
     caller.sendall(get("/s/held/0") + get("/s/held/1"))
     wait_for(lambda: len(target.seen) == 2)
     ending = gevent.spawn(entry.server.finish, 30.0)
@@ -194,19 +197,21 @@
     assert ending.get()
 
 
-def test_a_caller_that_leaves_cancels_all_it_had_in_flight(entry, caller, target):
-    """Symptom: targets work for callers that are gone. Cause: the end of the input
-    was seen only once every request before it was read."""
+def test_requests_are_cancelled_when_their_caller_disconnects(entry, caller, target):
+    """Targets worked for callers that were gone.
+
+    The end of the input was noticed only after every request before it was read.
+    """
     caller.sendall(get("/s/held/0") + get("/s/held/1") + post("/s/2"))
     wait_for(lambda: len(target.seen) == 2)
     caller.close()
-    wait_for(lambda: len(target.left) == 2)
+    wait_for(lambda: len(target.disconnected) == 2)
     wait_for(lambda: entry.server.connections == 0)
     assert "/s/2" not in target.seen
     assert entry.server.lookahead == type(entry.server.lookahead)(total=2)
 
 
-def test_half_a_head_does_not_hold_up_the_request_before_it(caller, target, read_until):
+def test_partial_head_does_not_delay_the_request_before_it(caller, target, read_until):
     whole = get("/s/1")
     caller.sendall(get("/s/0") + whole[:10])
     assert bodies(read_until(caller, b"</s/0>")) == ["/s/0"]
@@ -214,10 +219,10 @@
     assert bodies(read_until(caller, b"</s/1>")) == ["/s/1"]
 
 
-def test_very_many_heads_at_once_are_bounded_and_all_answered(
+def test_read_ahead_is_limited_and_all_requests_are_answered(
     entry, caller, target, read_until
 ):
-    """Symptom: one caller fills the memory, or the slots of all targets."""
+    """One caller could exhaust the memory, or occupy the slots of all targets."""
     paths = [f"/s/{i}" for i in range(MANY)]
     most = 0
 
@@ -236,9 +241,9 @@
     assert entry.server.lookahead.requests == entry.server.lookahead.size == 0
 
 
-def test_a_caller_that_does_not_read_stalls_itself_alone(entry, caller, target):
-    """Symptom: other callers wait. Cause: answers nobody reads were held without
-    bound, or one task wrote the answers of all connections."""
+def test_caller_that_does_not_read_delays_only_itself(entry, caller, target):
+    """Other callers would wait if unread answers were held without a limit, or if one
+    task wrote the answers of all connections."""
     data = b"".join(get(f"/s/{i}?{'y' * 2000}") for i in range(2 * MANY))
     sender = gevent.spawn(caller.sendall, data)
     wait_for(lambda: len(target.seen) > 100)
@@ -262,11 +267,11 @@
         (b"GET /s/" + b"y" * 9000 + b" HTTP/1.1\r\n\r\n", b"431"),
     ],
 )
-def test_a_bad_request_behind_a_good_one_is_answered_in_its_turn(
+def test_malformed_request_after_a_valid_one_is_answered_in_order(
     bad, status, caller, target, read_to_end
 ):
-    """Symptom: the answer to a good request is lost. Cause: the fault of the next
-    one was written at once, and the connection closed."""
+    """The answer to a valid request was lost, because the error for the next request
+    was written at once and the connection was closed."""
     caller.sendall(get("/s/held/0") + bad)
     wait_for(lambda: target.seen)
     for _ in range(20):
@@ -279,10 +284,8 @@
     assert target.seen == ["/s/held/0"]
 
 
-def test_the_word_to_go_on_comes_after_the_answers_before_it(
-    caller, target, read_until
-):
-    """Symptom: a caller takes "100 Continue" for the answer to an earlier request."""
+def test_100_continue_is_sent_after_the_answers_before_it(caller, target, read_until):
+    """A caller could take "100 Continue" for the answer to an earlier request."""
     expecting = _request("PUT", "/s/1", ["Content-Length: 2", "Expect: 100-continue"])
     caller.sendall(get("/s/held/0") + expecting)
     wait_for(lambda: target.seen)
@@ -295,16 +298,16 @@
     assert bodies(read_until(caller, b"</s/1>")) == ["/s/1"]
 
 
-def test_the_idle_time_counts_from_the_last_answer(entry, caller, target, read_until):
-    """Symptom: a connection is closed just as its caller uses it again.
+def test_idle_time_counts_from_the_last_answer(entry, caller, target, read_until):
+    """A connection was closed just as its caller used it again.
 
-    Cause: the idle time ran from the last request, which took most of it.
+    The idle time was counted from the start of the last request, which took most of it.
     """
     limit = entry.server.limits.idle_s
     caller.sendall(get("/s/held/0"))
     wait_for(lambda: target.seen)
     (handler,) = entry.server._handlers
-    # As if the request had taken far longer than a connection may be idle.
+    # Simulates a request that takes far longer than the idle time.
     handler._pipeline.idle_since -= 2 * limit
     assert handler._idle_left() == limit
     target.release("/s/held/0")
@@ -315,7 +318,7 @@
     assert bodies(read_until(caller, b"</s/1>")) == ["/s/1"]
 
 
-def test_a_connection_that_is_idle_for_too_long_is_closed(entry):
+def test_idle_connection_is_closed(entry):
     entry.server.limits.idle_s = 0.01
     with socket.create_connection((HOST, entry.port)) as sock:
         assert sock.recv(10) == b""
--- a/tests/entry/operators/test_operators.py
+++ b/tests/entry/operators/test_operators.py
@@ -1,4 +1,4 @@
-"""The operators' listener of a whole daemon, in this process."""
+"""Operators' HTTP interface of a complete daemon in the process of the test."""
 
 import json
 import random
@@ -65,7 +65,7 @@
 
 
 @pytest.mark.parametrize("token", [None, "", "wrong", TOKEN + "x"])
-def test_without_a_known_token_nothing_is_shown_or_changed(call, daemon, token):
+def test_unknown_token_cannot_read_or_change_anything(call, daemon, token):
     pages = [("GET", "/v1/dump"), ("GET", "/metrics"), ("POST", "/v1/drain")]
     for method, path in [*pages, ("POST", "/v1/changes"), ("GET", "/nowhere")]:
         reply = call(method, path, token=token)
@@ -74,7 +74,7 @@
     assert daemon.configuration.revision == 0
 
 
-def test_tokens_rotate_without_a_restart(call, tmp_path):
+def test_token_file_is_reread_without_restart(call, tmp_path):
     (tmp_path / "tokens").write_text(f"{TOKEN}\nnew-token\n")
     assert call("GET", "/v1/status").status == 200
     assert call("GET", "/v1/status", token="new-token").status == 200
@@ -84,7 +84,7 @@
     assert call("GET", "/v1/status", token="new-token").status == 401
 
 
-def test_a_change_is_accepted_and_shown(call, daemon):
+def test_accepted_change_is_listed(call, daemon):
     reply = call("POST", "/v1/changes", change())
     assert (reply.status, json.loads(reply.body)["revision"]) == (201, 1)
     listed = json.loads(call("GET", "/v1/records").body)
@@ -112,7 +112,7 @@
         (b"[]", 400, "MalformedChange", "(document)"),
     ],
 )
-def test_a_faulty_change_has_a_typed_error_that_names_the_field(
+def test_faulty_change_gets_typed_error_with_its_field(
     call, body, status, error, field
 ):
     reply = call("POST", "/v1/changes", body)
@@ -122,7 +122,7 @@
     assert document["outcome"] == "refused"
 
 
-def test_what_cannot_be_accepted_now_is_told_apart_from_what_is_unknown(call, platform):
+def test_change_during_outage_is_refused_and_not_unknown(call, platform):
     platform.faults.outage = "error"
     reply = call("POST", "/v1/changes", change())
     assert reply.status == 503
@@ -131,21 +131,23 @@
     assert call("POST", "/v1/changes", change()).status == 201
 
 
-def test_any_body_gets_a_typed_answer(call):
-    """Fuzz with a fixed seed: mutated changes."""
+def test_random_body_gets_typed_answer(call):
+    """Fuzz test with a fixed seed: mutated changes."""
     rng = random.Random(17)
     for number in range(FUZZ_ROUNDS):
         body = bytearray(change(f"f{number}"))
         for _ in range(rng.randrange(1, 5)):
-            place = rng.randrange(len(body))
-            body[place : place + rng.randrange(4)] = rng.randbytes(rng.randrange(3))
+            position = rng.randrange(len(body))
+            body[position : position + rng.randrange(4)] = rng.randbytes(
+                rng.randrange(3)
+            )
         reply = call("POST", "/v1/changes", bytes(body))
         assert reply.status in (201, 400, 409, 422)
         document = json.loads(reply.body)
         assert document.get("outcome") == "accepted" or document["error"]
 
 
-def test_dumps_and_metrics_hold_no_secret(call):
+def test_dump_and_metrics_contain_no_secret(call):
     call("POST", "/v1/changes", change())
     dump = call("GET", "/v1/dump").body.decode()
     metrics = call("GET", "/metrics").body.decode()
@@ -156,6 +158,6 @@
     assert "cairnferry_revision 1" in metrics.splitlines()
 
 
-def test_a_nested_body_is_refused_not_followed(call):
+def test_deeply_nested_body_is_rejected(call):
     reply = call("POST", "/v1/changes", b"[" * 100_000)
     assert reply.status == 400
--- a/tests/entry/telemetry/test_exposition.py
+++ b/tests/entry/telemetry/test_exposition.py
@@ -1,4 +1,4 @@
-"""Metrics as monitoring systems read them."""
+"""Metrics in the Prometheus text format, read by the parser of its client."""
 
 import random
 
@@ -15,7 +15,7 @@
 
 @pytest.fixture
 def document():
-    """Give a state dump with something in each part."""
+    """Return a state dump with entries in each part."""
     metrics = Metrics()
     for number in range(1000):
         metrics.note_answer("svc", "relayed", 0.001 * number)
@@ -26,7 +26,7 @@
     metrics.note_store_call("rules-feed", "nothing")
     metrics.probes["healthy"] = 12_345_678
     metrics.faulty_rows["targets"] = 6
-    metrics.target_ends["svc"] = 4
+    metrics.target_crashes["svc"] = 4
     metrics.quarantine["blocked"] = 2
     metrics.limits["named"] = 3
     return {
@@ -59,7 +59,7 @@
     }
 
 
-def test_every_number_is_read_as_it_was_counted(document):
+def test_exported_values_equal_the_counters(document):
     values = read(document)
     expected = {
         ("requests_total", "-", "allowed", "relayed", "svc"): 1,
@@ -94,24 +94,24 @@
         assert values[f"cairnferry_{name}", *labels] == value
 
 
-def test_a_daemon_without_rules_has_no_age(document):
+def test_rules_age_is_omitted_without_rules(document):
     document["confirmed_head_age_s"] = None
     assert ("cairnferry_rules_age_seconds",) not in read(document)
 
 
-def test_labels_from_outside_cannot_break_a_line(document):
+def test_special_characters_in_labels_are_escaped(document):
     name = 'odd"name\\with\nall'
     document["services"] = {name: service(first=4)}
     assert ("cairnferry_attempts_total", "first", name) in read(document)
 
 
-def test_buckets_count_what_is_not_above_their_bound():
-    """The histogram keeps two digits, so that a bound is off by a hundredth at most."""
+def test_buckets_count_durations_up_to_their_bound():
+    """The histogram keeps two digits, so a bound is off by at most one hundredth."""
     durations = Durations()
     rng = random.Random(1)
     samples = [rng.expovariate(3.0) for _ in range(2000)]
     for sample in samples:
-        durations.note(sample)
+        durations.record(sample)
     shown = durations.buckets()
     for bound in BOUNDS_S:
         below = sum(sample <= bound * 0.99 for sample in samples)
@@ -121,9 +121,9 @@
     assert shown["sum"] == pytest.approx(sum(samples), abs=1e-5)
 
 
-def test_a_duration_beyond_the_histogram_counts_as_its_longest():
+def test_duration_above_the_histogram_range_counts_as_maximum():
     durations = Durations()
-    durations.note(3600.0)
+    durations.record(3600.0)
     assert durations.buckets()["buckets"] == {
         **{f"{bound:g}": 0 for bound in BOUNDS_S},
         "+Inf": 1,
--- a/tests/entry/telemetry/test_log_lines.py
+++ b/tests/entry/telemetry/test_log_lines.py
@@ -1,4 +1,4 @@
-"""Log lines that nobody reads for a while."""
+"""Log lines while their reader stalls or is gone."""
 
 import json
 import logging
@@ -20,7 +20,7 @@
         try:
             os.close(fd)
         except OSError:
-            continue  # The test has closed it.
+            continue  # The test has already closed it.
 
 
 @pytest.fixture
@@ -31,12 +31,12 @@
     made.close()
 
 
-def say(handler, text, level=logging.INFO):
+def emit(handler, text, level=logging.INFO):
     handler.emit(logging.LogRecord("t", level, "", 0, text, (), None))
 
 
 def read_all(fd):
-    """Read until there is nothing more for the moment."""
+    """Read until no more data is available at the moment."""
     data = b""
     while True:
         gevent.sleep(0)
@@ -46,18 +46,18 @@
             return data
 
 
-def test_lines_are_written_in_their_order(pipe, handler):
+def test_lines_are_written_in_order(pipe, handler):
     for number in range(100):
-        say(handler, f"{number}")
+        emit(handler, f"{number}")
     gevent.sleep(0)
     lines = read_all(pipe[0]).decode().splitlines()
     assert lines == [f"INFO {number}" for number in range(100)]
 
 
-def test_lines_wait_while_nobody_reads_and_none_is_torn(pipe, handler):
+def test_lines_wait_for_a_stalled_reader_and_stay_whole(pipe, handler):
     texts = [f"{number} " + "x" * 1000 for number in range(300)]
     for text in texts:
-        say(handler, text)
+        emit(handler, text)
         gevent.sleep(0)
     data = b""
     while data.count(b"\n") < len(texts):
@@ -66,53 +66,55 @@
     assert handler.dropped == 0
 
 
-def test_without_room_successes_are_dropped_before_failures(pipe, handler, monkeypatch):
+def test_full_queue_drops_successes_before_failures(pipe, handler, monkeypatch):
     monkeypatch.setattr(_log_lines, "MAX_SUCCESS_BYTES", 100_000)
     monkeypatch.setattr(_log_lines, "MAX_WAITING_BYTES", 200_000)
     for _ in range(200):
-        say(handler, "x" * 1000)
+        emit(handler, "x" * 1000)
     assert handler.dropped > 0
     before = handler.dropped
-    say(handler, "a failure", logging.WARNING)
+    emit(handler, "a failure", logging.WARNING)
     assert handler.dropped == before
-    assert handler._waiting <= 200_000
+    assert handler._waiting_bytes <= 200_000
     data = b""
     while b"a failure" not in data:
         data += read_all(pipe[0])
 
 
-def test_what_was_dropped_is_told_once_there_is_room(pipe, handler, monkeypatch):
+def test_dropped_lines_are_reported(pipe, handler, monkeypatch):
     monkeypatch.setattr(_log_lines, "MAX_SUCCESS_BYTES", 10)
-    told = []
+    logged = []
     monkeypatch.setattr(
-        _log_lines.log, "warning", lambda message, extra: told.append((message, extra))
+        _log_lines.log,
+        "warning",
+        lambda message, extra: logged.append((message, extra)),
     )
-    say(handler, "too long for the room")
-    say(handler, "too long as well")
-    say(handler, "seen", logging.ERROR)
+    emit(handler, "too long for the queue")
+    emit(handler, "too long as well")
+    emit(handler, "seen", logging.ERROR)
     gevent.sleep(0)
     assert read_all(pipe[0]) == b"ERROR seen\n"
-    assert told == [("log lines dropped", {"count": 2})]
+    assert logged == [("log lines dropped", {"count": 2})]
 
 
-def test_a_reader_that_went_away_ends_nothing(pipe, handler):
-    """Symptom: the daemon ends as its collector of logs is restarted."""
+def test_handler_survives_the_end_of_its_reader(pipe, handler):
+    """The daemon would crash when the log collector is restarted."""
     os.close(pipe[0])
     while not handler.dropped:
         # gevent closes a descriptor in a later turn of its loop.
-        say(handler, "one")
+        emit(handler, "one")
         gevent.sleep(0)
     before = handler.dropped
-    say(handler, "two")
+    emit(handler, "two")
     gevent.sleep(0)
     assert handler.dropped == before + 1
     assert not handler._task.dead
 
 
-def test_a_file_takes_lines_too(tmp_path):
+def test_lines_are_written_to_a_file(tmp_path):
     with open(tmp_path / "log", "wb") as file:
         handler = LineHandler(file.fileno())
         handler.setFormatter(logging.Formatter(json.dumps({"m": "%(message)s"})))
-        say(handler, "hello")
+        emit(handler, "hello")
         handler.close()
     assert json.loads((tmp_path / "log").read_text()) == {"m": "hello"}
--- a/tests/entry/test_command.py
+++ b/tests/entry/test_command.py
@@ -1,4 +1,4 @@
-"""The daemon's command line: faults are told at once, one line each."""
+"""Command line of the daemon: faults in the settings are reported, one per line."""
 
 import signal
 import socket
@@ -36,7 +36,7 @@
     return str(path), ports
 
 
-def test_wrong_settings_end_it_with_one_line_for_each_fault(settings):
+def test_each_fault_in_settings_is_reported_in_one_line(settings):
     path, _ = settings
     done = run("--config", path, "--set", "callers.idle_s=x", "--set", "a.b=1")
     assert done.returncode == 2
@@ -47,12 +47,12 @@
     ]
 
 
-def test_good_settings_are_said_to_be_good(settings):
+def test_check_accepts_valid_settings(settings):
     done = run("--config", settings[0], "--check")
     assert (done.returncode, done.stdout) == (0, "settings are good\n")
 
 
-def test_a_missing_key_file_ends_it_in_one_line(settings, tmp_path):
+def test_missing_key_file_is_reported_in_one_line(settings, tmp_path):
     (tmp_path / "keys").unlink()
     done = run("--config", settings[0])
     assert done.returncode == 2
@@ -60,7 +60,7 @@
     assert len(done.stderr.splitlines()) == 1
 
 
-def test_an_address_in_use_ends_it_in_one_line(settings):
+def test_address_in_use_is_reported(settings):
     path, ports = settings
     with socket.create_server(("127.0.0.1", ports["callers"])):
         done = run("--config", path)
@@ -68,15 +68,13 @@
     assert "cannot listen" in done.stderr.splitlines()[-1]
 
 
-def test_the_table_of_keys_is_printed():
+def test_keys_option_prints_table():
     done = run("--keys")
     assert done.returncode == 0
     assert "| peers | fanout | whole number | - | 3 | 1 to 20 |" in done.stdout
 
 
-def test_a_signal_makes_it_dump_its_state_and_another_makes_it_leave(
-    settings, tmp_path
-):
+def test_sigusr1_dumps_state_and_sigterm_stops_daemon(settings, tmp_path):
     log = tmp_path / "log"
     options = ["--set", "callers.answer_ttl_s=0.1", "--set", "drain.margin_s=0"]
     with log.open("w") as file:
@@ -108,7 +106,7 @@
         ),
     ],
 )
-def test_the_stand_ins_check_their_settings_too(command, line):
+def test_standins_check_their_settings(command, line):
     done = subprocess.run(
         [sys.executable, "-m", "cairnferry.standins.command", *command],
         capture_output=True,
