--- a/packages/ctl/src/cairnferry/ctl/__init__.py
+++ b/packages/ctl/src/cairnferry/ctl/__init__.py
@@ -1,4 +1,4 @@
-"""The tool of the operators."""
+"""Command-line tool for operators."""
 
 from cairnferry.ctl._api import Api, ApiError, Unreachable
 
--- a/packages/ctl/src/cairnferry/ctl/_api.py
+++ b/packages/ctl/src/cairnferry/ctl/_api.py
@@ -1,4 +1,4 @@
-"""Calls to the operators' listener of any daemon."""
+"""Client for the operators' listener of a daemon."""
 
 import json
 
@@ -8,19 +8,19 @@
 from cairnferry.wire import Client, Incomplete, NotSent, Reply
 
 TIMEOUT_S = 15.0
-HTTP_ERROR = 400
+MIN_ERROR_STATUS = 400
 
 
 @attrs.frozen
 class ApiError:
-    """The daemon answered with an error.
+    """Error response of the daemon.
 
     Attributes
     ----------
     status : int
         HTTP status.
     document : dict
-        Body of the answer.
+        Body of the response.
     """
 
     status: int
@@ -29,14 +29,14 @@
 
 @attrs.frozen
 class Unreachable:
-    """No answer came.
+    """The daemon did not return a complete response.
 
     Attributes
     ----------
     address : str
-        The daemon.
+        "IP:port" of the daemon.
     sent : bool
-        Whether the request may have arrived.
+        Whether the daemon may have received the request.
     reason : str
         Name of the failure.
     """
@@ -48,25 +48,25 @@
 
 @attrs.define
 class Api:
-    """Client of one daemon.
+    """Client for one daemon.
 
     Parameters
     ----------
     client : Client
-        Connection to the operators' listener.
+        HTTP client for the operators' listener.
     token : str or None
-        Token of the operator.
+        Token of the operator; None to send none.
     """
 
     client: Client
     token: str | None = attrs.field(default=None, repr=False)
 
     def get(self, path: str) -> Result[dict, ApiError | Unreachable]:
-        """Read a page."""
+        """Return the document at a path."""
         return self._call("GET", path, b"")
 
     def post(self, path: str, document: dict) -> Result[dict, ApiError | Unreachable]:
-        """Send a document."""
+        """Post a document to a path, and return the document in the response."""
         return self._call("POST", path, json.dumps(document).encode())
 
     def _call(self, method, path, body):
@@ -77,19 +77,19 @@
             method, path, timeout=TIMEOUT_S, headers=headers, body=body
         )
         match outcome:
-            case Reply(status=status, body=answer):
-                return _decoded(status, answer)
+            case Reply(status=status, body=response_body):
+                return _decode(status, response_body)
             case NotSent(failure):
                 return Error(Unreachable(self.client.authority, False, str(failure)))
             case Incomplete(failure):
                 return Error(Unreachable(self.client.authority, True, str(failure)))
 
 
-def _decoded(status, body):
+def _decode(status, body):
     try:
         document = json.loads(body)
     except ValueError:
-        document = {"message": "the answer is not JSON"}
-    if status >= HTTP_ERROR:
+        document = {"message": "the response is not JSON"}
+    if status >= MIN_ERROR_STATUS:
         return Error(ApiError(status, document))
     return Ok(document)
--- a/packages/ctl/src/cairnferry/ctl/_charts.py
+++ b/packages/ctl/src/cairnferry/ctl/_charts.py
@@ -1,29 +1,35 @@
-"""Charts of what happened over time, as one SVG page.
+"""Draw charts of a timeline as one SVG page.
 
-The drawing library is imported here alone: it adds an importer to the interpreter that
-others, such as the test runner, stumble over.
+Only this module imports the chart library, because the library installs an import
+hook that breaks other code, such as the test runner.
 """
 
 import pygal
 from pygal.style import CleanStyle
 
-from cairnferry.ctl._report import ENDED, Timeline
+from cairnferry.ctl._report import OUTCOME_BY_MESSAGE, Timeline
 
 WIDTH = 1000
 CHART_HEIGHT = 260
 QUANTILES = (0.5, 0.99)
 
 
-def draw(shown: Timeline) -> str:
-    """Draw a page of charts as SVG."""
+def draw(timeline: Timeline) -> str:
+    """Return a page of charts as SVG."""
     charts = [
-        _chart(shown, "Requests a second, by how they ended", _ended(shown), True),
-        _chart(shown, "Milliseconds of requests that have a line", _times(shown)),
-        _chart(shown, "Instances that serve", {"serving": _serving(shown)}),
-        _chart(shown, "Revision in force", _revisions(shown)),
+        _chart(
+            timeline, "Requests per second by outcome", _outcome_rates(timeline), True
+        ),
+        _chart(
+            timeline,
+            "Milliseconds of logged requests",
+            _durations(timeline),
+        ),
+        _chart(timeline, "Serving instances", {"serving": _serving(timeline)}),
+        _chart(timeline, "Revision in force", _revisions(timeline)),
     ]
     height = CHART_HEIGHT * len(charts)
-    inner = "".join(
+    charts_svg = "".join(
         f'<svg x="0" y="{CHART_HEIGHT * index}" width="{WIDTH}" '
         f'height="{CHART_HEIGHT}">{chart}</svg>'
         for index, chart in enumerate(charts)
@@ -31,13 +37,13 @@
     return (
         f'<svg xmlns="http://www.w3.org/2000/svg" '
         f'xmlns:xlink="http://www.w3.org/1999/xlink" viewBox="0 0 {WIDTH} {height}" '
-        f'width="{WIDTH}" height="{height}">{inner}</svg>\n'
+        f'width="{WIDTH}" height="{height}">{charts_svg}</svg>\n'
     )
 
 
-def _chart(shown, title, series, is_stacked=False):
-    sort = pygal.StackedLine if is_stacked else pygal.Line
-    chart = sort(
+def _chart(timeline, title, series, is_stacked=False):
+    chart_type = pygal.StackedLine if is_stacked else pygal.Line
+    chart = chart_type(
         title=title,
         width=WIDTH,
         height=CHART_HEIGHT,
@@ -45,44 +51,48 @@
         fill=is_stacked,
         show_dots=False,
         show_minor_x_labels=False,
-        x_labels_major_every=max(1, len(shown.steps) // 10),
+        x_labels_major_every=max(1, len(timeline.steps) // 10),
         include_x_axis=True,
         truncate_label=-1,
         truncate_legend=-1,
         disable_xml_declaration=True,
         js=(),
     )
-    chart.x_labels = [f"{i * shown.step_s:g} s" for i in range(len(shown.steps))]
+    chart.x_labels = [f"{i * timeline.step_s:g} s" for i in range(len(timeline.steps))]
     for name, values in series.items():
         chart.add(name, values)
     return chart.render(is_unicode=True)
 
 
-def _ended(shown):
+def _outcome_rates(timeline):
     return {
-        name: [step.ended[name] / shown.step_s for step in shown.steps]
-        for name in ENDED.values()
+        name: [step.outcomes[name] / timeline.step_s for step in timeline.steps]
+        for name in OUTCOME_BY_MESSAGE.values()
     }
 
 
-def _times(shown):
+def _durations(timeline):
     return {
-        f"p{part * 100:g}": [_quantile(step.times_ms, part) for step in shown.steps]
-        for part in QUANTILES
+        f"p{quantile * 100:g}": [
+            _quantile(step.durations_ms, quantile) for step in timeline.steps
+        ]
+        for quantile in QUANTILES
     }
 
 
-def _quantile(values, part):
+def _quantile(values, quantile):
     ordered = sorted(values)
-    return ordered[int(part * (len(ordered) - 1))] if ordered else None
+    return ordered[int(quantile * (len(ordered) - 1))] if ordered else None
 
 
-def _serving(shown):
-    return [step.serving for step in shown.steps]
+def _serving(timeline):
+    return [step.serving for step in timeline.steps]
 
 
-def _revisions(shown):
+def _revisions(timeline):
     return {
-        name: [pick(step.revisions) if step.revisions else None for step in shown.steps]
+        name: [
+            pick(step.revisions) if step.revisions else None for step in timeline.steps
+        ]
         for name, pick in (("lowest", min), ("highest", max))
     }
--- a/packages/ctl/src/cairnferry/ctl/_commands.py
+++ b/packages/ctl/src/cairnferry/ctl/_commands.py
@@ -1,4 +1,4 @@
-"""What each command does."""
+"""Implementation of the commands."""
 
 import json
 import sys
@@ -16,7 +16,7 @@
 
 
 def load_files(paths: list[str]):
-    """Read record files; on a fault print all of them and exit."""
+    """Read record files; print all errors and exit if there are any."""
     records = read_records(paths)
     if records.is_error():
         for fault in records.error:
@@ -26,12 +26,12 @@
 
 
 def submit(api: Api, paths, change_id, or_replace, as_json) -> None:
-    """Submit new records, as one atomic change."""
+    """Submit new records as one atomic change."""
     records = load_files(paths)
-    known = known_revisions(api, as_json) if or_replace else {}
+    revisions = known_revisions(api, as_json) if or_replace else {}
     edits = []
     for record in records:
-        revision = known.get((record.kind, record.name))
+        revision = revisions.get((record.kind, record.name))
         if revision is None:
             edits.append({"op": "submit", "record": record.document})
         else:
@@ -40,12 +40,12 @@
 
 
 def replace(api: Api, paths, change_id, as_json) -> None:
-    """Replace records, as one atomic change."""
+    """Replace records as one atomic change."""
     records = load_files(paths)
-    known = known_revisions(api, as_json)
+    revisions = known_revisions(api, as_json)
     edits = []
     for record in records:
-        revision = record.revision or known.get((record.kind, record.name))
+        revision = record.revision or revisions.get((record.kind, record.name))
         if revision is None:
             print(
                 f"cairnferry: {record.path}: {record.kind}/{record.name} does not "
@@ -58,12 +58,12 @@
 
 
 def withdraw(api: Api, names, change_id, as_json) -> None:
-    """Withdraw records named as kind/name, as one atomic change."""
-    known = known_revisions(api, as_json)
+    """Withdraw records, named as kind/name, as one atomic change."""
+    revisions = known_revisions(api, as_json)
     edits = []
     for text in names:
         kind, _, name = text.partition("/")
-        revision = known.get((kind, name))
+        revision = revisions.get((kind, name))
         if revision is None:
             print(f"cairnferry: {text} does not exist", file=sys.stderr)
             sys.exit(ExitCode.CONFLICT)
@@ -73,7 +73,7 @@
 
 
 def list_records(api: Api, kind, as_json) -> None:
-    """List the records in force."""
+    """Print the records in force."""
     path = f"/v1/records?kind={kind}" if kind else "/v1/records"
     document = _get(api, path, as_json)
     if as_json:
@@ -83,13 +83,13 @@
 
 
 def show(api: Api, text, as_json) -> None:
-    """Show one record in the form that `replace` takes."""
+    """Print one record in the format that `replace` reads."""
     kind, _, name = text.partition("/")
     print(json.dumps(_get(api, f"/v1/records/{kind}/{name}", as_json), indent=1))
 
 
 def diff(api: Api, paths, as_json) -> None:
-    """Compare record files with what is in force."""
+    """Compare record files with the records in force."""
     records = load_files(paths)
     document = _get(api, "/v1/records", as_json)
     in_force = {(r["kind"], r["name"]): r for r in document["records"]}
@@ -111,7 +111,7 @@
 
 
 def show_change(api: Api, change_id, as_json) -> None:
-    """Say what became of a change."""
+    """Print whether a change was accepted."""
     result = api.get(f"/v1/changes/{change_id}")
     if result.is_error():
         fail(result.error, change_id, as_json)
@@ -126,22 +126,22 @@
 
 
 def status(api: Api, wait_for, timeout, as_json) -> None:
-    """Show all instances; wait until a revision is in force at each live one."""
+    """Print all instances; wait until a revision is in force at each live instance."""
     deadline = time.monotonic() + timeout
     while True:
         document = _get(api, "/v1/status", as_json)
-        missing = _missing(document, wait_for)
-        if not missing or time.monotonic() >= deadline:
+        lagging = _lagging_instances(document, wait_for)
+        if not lagging or time.monotonic() >= deadline:
             break
         if not as_json:
-            names = ", ".join(missing)
+            names = ", ".join(lagging)
             print(f"revision {wait_for} is not yet in force at: {names}")
         time.sleep(POLL_S)
     if as_json:
         print(json.dumps(document, indent=1))
     else:
         print_status(document)
-    if missing:
+    if lagging:
         sys.exit(ExitCode.UNAVAILABLE)
 
 
@@ -151,7 +151,7 @@
 
 
 def drain(api: Api, as_json) -> None:
-    """Make one daemon leave."""
+    """Drain one daemon."""
     result = api.post("/v1/drain", {})
     if result.is_error():
         fail(result.error, None, as_json)
@@ -159,7 +159,7 @@
 
 
 def list_blocked(api: Api, as_json) -> None:
-    """List the requests that are kept from targets."""
+    """Print the requests that are blocked."""
     document = _get(api, "/v1/blocked", as_json)
     if as_json:
         print(json.dumps(document, indent=1))
@@ -168,26 +168,26 @@
 
 
 def unblock(api: Api, content: str, as_json) -> None:
-    """Let a request through to targets again, at all daemons."""
+    """Unblock a request at all daemons."""
     result = api.post(f"/v1/blocked/{urllib.parse.quote(content, safe='')}/lift", {})
     if result.is_error():
         fail(result.error, None, as_json)
     print(f"{content} is let through")
 
 
-def _missing(document, revision):
-    """List the live instances that are not known to have a revision."""
+def _lagging_instances(document, revision):
+    """Return the live instances at which a revision is not known to be in force."""
     if revision is None:
         return []
-    missing = []
+    lagging = []
     if document["revision"] < revision:
-        missing.append(document["instance"])
+        lagging.append(document["instance"])
     for member in document["members"]:
         if member["state"] != "alive" or member["name"] == document["instance"]:
             continue
         if (member["revision"] or 0) < revision:
-            missing.append(member["name"])
-    return missing
+            lagging.append(member["name"])
+    return lagging
 
 
 def _replace_edit(record, revision):
@@ -199,7 +199,7 @@
 
 
 def known_revisions(api: Api, as_json) -> dict[tuple[str, str], int]:
-    """Give the revisions of the records in force, by kind and name."""
+    """Return the revisions of the records in force by kind and name."""
     document = _get(api, "/v1/records", as_json)
     return {(r["kind"], r["name"]): r["revision"] for r in document["records"]}
 
@@ -212,12 +212,12 @@
 
 
 def records_in_force(api: Api, kind: str, as_json) -> list[dict]:
-    """List the records of a kind that are in force."""
+    """Return the records of a kind that are in force."""
     return _get(api, f"/v1/records?kind={kind}", as_json)["records"]
 
 
 def send_edits(api: Api, edits, change_id, as_json) -> None:
-    """Send edits as one atomic change, and print what became of it."""
+    """Send edits as one atomic change, and print the accepted revision."""
     change_id = change_id or uuid.uuid4().hex
     result = api.post("/v1/changes", {"change_id": change_id, "edits": edits})
     if result.is_error():
@@ -230,28 +230,28 @@
 
 
 def explain(request_id: str, paths: list[str], before_s: float) -> None:
-    """Print a request's life, from log files or standard input."""
+    """Print the log lines that explain a request, from files or standard input."""
     log = _read_log(paths)
     lines = _explain.explain(log, request_id, before_s)
     if not lines:
         print(
-            f"cairnferry: no line on {request_id}: requests that went well have a line "
-            "only now and then; look at left_out of the lines around its time",
+            f"cairnferry: no line on {request_id}: only a sample of the successful "
+            "requests is logged; check left_out of the lines around its time",
             file=sys.stderr,
         )
         sys.exit(ExitCode.REFUSED)
-    print("\n".join(_explain.told(lines)))
+    print("\n".join(_explain.format_lines(lines)))
 
 
 def report(output: str, paths: list[str]) -> None:
-    """Write a page of charts, from log files or standard input."""
-    shown = _report.timeline(_read_log(paths))
-    if shown is None:
-        print("cairnferry: there are no log lines of an instance", file=sys.stderr)
+    """Write a page of charts from log files or standard input."""
+    timeline = _report.build_timeline(_read_log(paths))
+    if timeline is None:
+        print("cairnferry: the input has no log lines of an instance", file=sys.stderr)
         sys.exit(ExitCode.REFUSED)
     try:
         with open(output, "w", encoding="utf-8") as file:
-            file.write(_charts.draw(shown))
+            file.write(_charts.draw(timeline))
     except OSError as exc:
         print(f"cairnferry: {output}: {exc.strerror}", file=sys.stderr)
         sys.exit(ExitCode.USAGE)
@@ -260,7 +260,7 @@
 def _read_log(paths):
     log = _explain.read_log(_lines_of(paths))
     if log.unreadable:
-        print(f"cairnferry: {log.unreadable} lines passed over", file=sys.stderr)
+        print(f"cairnferry: {log.unreadable} unreadable lines ignored", file=sys.stderr)
     return log
 
 
--- a/packages/ctl/src/cairnferry/ctl/_exits.py
+++ b/packages/ctl/src/cairnferry/ctl/_exits.py
@@ -1,4 +1,4 @@
-"""Exit codes, the same for every command."""
+"""Exit codes, which are the same for every command."""
 
 import enum
 import json
@@ -8,7 +8,7 @@
 
 
 class ExitCode(enum.IntEnum):
-    """What the exit code of the tool says."""
+    """Exit codes of the tool."""
 
     OK = 0
     USAGE = 2
@@ -35,7 +35,7 @@
 
 
 def fail(error: ApiError | Unreachable, change_id: str | None, as_json: bool) -> None:
-    """Report an error, say what to do next, and exit."""
+    """Report an error and the next step for the operator, and exit."""
     match error:
         case ApiError(status, document):
             code = _BY_STATUS.get(status, ExitCode.REFUSED)
@@ -45,8 +45,8 @@
         case Unreachable(address, sent, reason):
             document = {"error": "unreachable", "address": address, "reason": reason}
             message = f"{address} gave no answer ({reason})"
-            in_doubt = sent and change_id is not None
-            code = ExitCode.UNKNOWN if in_doubt else ExitCode.UNAVAILABLE
+            outcome_unknown = sent and change_id is not None
+            code = ExitCode.UNKNOWN if outcome_unknown else ExitCode.UNAVAILABLE
     if as_json:
         print(json.dumps({**document, "exit": code.name.lower()}, indent=1))
     step = _NEXT_STEP[code].format(change_id=change_id)
--- a/packages/ctl/src/cairnferry/ctl/_explain.py
+++ b/packages/ctl/src/cairnferry/ctl/_explain.py
@@ -1,4 +1,4 @@
-"""The life of one request, told from the log lines of all instances."""
+"""Explain the outcome of one request from the log lines of all instances."""
 
 import json
 from collections.abc import Iterable, Iterator
@@ -7,10 +7,10 @@
 import attrs
 
 TIME_FORMAT = "%Y-%m-%d %H:%M:%S,%f"
-# Fields that each line has; all others are what the line tells.
+# Fields that every line has; all other fields are specific to the message.
 COMMON_FIELDS = ("time", "level", "part", "message", "instance", "request_id")
-# Lines on what an instance believes, which decide about requests that come after.
-BELIEFS = (
+# Messages on the state that an instance assumes, which affects later requests.
+STATE_MESSAGES = (
     "in force",
     "rules cannot be read",
     "targets",
@@ -28,28 +28,30 @@
     "leaving",
     "log lines dropped",
 )
-# Lines on a request that ends targets, whoever sent it: they tell of it by its digest.
-SUSPICIONS = (
+# Messages on a request that crashes targets, from any caller. They identify the
+# request by its digest.
+QUARANTINE_MESSAGES = (
     "request suspected",
     "request blocked",
     "request tried again",
     "request let through again",
     "target ended under requests",
 )
-# Lines on limits that targets name. A limit holds until another line ends it.
-LIMITS = ("limit named", "limit changed", "limit lifted", "limit forgotten")
-# Lines on targets that asked for rest. It holds for the time that the line tells.
-RESTS = ("target asks for rest", "target has rested")
-# Lines on zones that operators took out of use or back: these say which targets it
-# could not have.
-ZONES = ("zone evacuated", "zone restored")
-# Cause of a request for which all targets were kept back by their limits.
-KEPT_BY_LIMITS = "target-limit"
-# Cause of a request for which all targets rested.
-KEPT_BY_RESTS = "targets-resting"
-# Lines that tell why requests were kept back for a cause.
-LASTING = {KEPT_BY_LIMITS: LIMITS, KEPT_BY_RESTS: RESTS}
-# Names of targets in a belief's line.
+# Messages on limits that targets declare. A limit is in effect until another line
+# changes or ends it.
+LIMIT_MESSAGES = ("limit named", "limit changed", "limit lifted", "limit forgotten")
+# Messages on targets that request back-off. It is in effect for the time in the line.
+BACK_OFF_MESSAGES = ("target asks for rest", "target has rested")
+# Messages on zones that operators evacuated or restored. They show which targets were
+# not available to a request.
+ZONE_MESSAGES = ("zone evacuated", "zone restored")
+# Cause in the line of a request for which all targets were throttled by their limits.
+THROTTLED_CAUSE = "target-limit"
+# Cause in the line of a request for which all targets were backing off.
+BACK_OFF_CAUSE = "targets-resting"
+# Messages that explain each of these causes.
+MESSAGES_BY_CAUSE = {THROTTLED_CAUSE: LIMIT_MESSAGES, BACK_OFF_CAUSE: BACK_OFF_MESSAGES}
+# Fields that contain names of targets.
 TARGET_FIELDS = (
     "target",
     "came",
@@ -69,13 +71,13 @@
     Attributes
     ----------
     time : datetime
-        When it was written, by the clock of its instance.
+        Time of the line by the clock of its instance.
     instance, message : str
-        Who wrote it, and what about.
+        Name of the instance that wrote the line, and the message.
     request_id : str or None
-        The request that it is about.
+        ID of the request that the line is about.
     facts : dict
-        What else it tells.
+        All other fields of the line.
     """
 
     time: datetime
@@ -84,13 +86,13 @@
     request_id: str | None
     facts: dict
 
-    def contents(self) -> set[str]:
-        """Give the digests of requests that the line is about."""
+    def digests(self) -> set[str]:
+        """Return the digests of the requests that the line is about."""
         in_hand = {text.split(" ")[0] for text in self.facts.get("in_hand", ())}
         return in_hand | {self.facts.get("content", "")} - {""}
 
-    def names(self) -> set[str]:
-        """Give the targets that the line is about."""
+    def target_names(self) -> set[str]:
+        """Return the names of the targets that the line is about."""
         found = set()
         for field in TARGET_FIELDS:
             value = self.facts.get(field, ())
@@ -100,14 +102,14 @@
 
 @attrs.define
 class Log:
-    """Lines of all instances.
+    """Log lines of all instances.
 
     Attributes
     ----------
     lines : list of LogLine
-        In the order of their times.
+        Lines, sorted by time.
     unreadable : int
-        Lines that are none of an instance's.
+        Number of lines that are not log lines of an instance.
     """
 
     lines: list[LogLine] = attrs.field(factory=list)
@@ -115,12 +117,17 @@
 
 
 def read_log(texts: Iterable[str]) -> Log:
-    """Read lines; what stands before the JSON object of a line is passed over.
+    """Parse log lines; any text before the JSON object of a line is ignored.
 
     Parameters
     ----------
     texts : iterable of str
-        Lines as they were written, of any number of instances in any order.
+        Lines of any number of instances, in any order.
+
+    Returns
+    -------
+    Log
+        The parsed lines, sorted by time.
     """
     log = Log()
     for text in texts:
@@ -146,75 +153,77 @@
 
 
 def explain(log: Log, request_id: str, before_s: float) -> list[LogLine]:
-    """Choose the lines that tell what became of a request, and why.
+    """Select the log lines that explain the outcome of a request.
 
     Parameters
     ----------
     log : Log
-        Lines of all instances.
+        Log lines of all instances.
     request_id : str
-        The ID that its caller gave it.
+        ID that the caller assigned to the request.
     before_s : float
-        Seconds before it for which changes of belief are told: those of its instance
-        on rules and feeds, and on the targets that were asked or tried. What any
-        instance said of targets that ended under a request like it is told in any case.
+        Seconds before the request for which state changes are included. These are
+        the changes that its instance logged on rules and feeds, and on the targets
+        that were checked or tried. Lines of any instance on targets that crashed
+        during a request with the same content are included whatever their age.
 
     Returns
     -------
     list of LogLine
-        In the order of their times; empty if no line is about the request.
+        Lines, sorted by time; empty if no line is about the request.
     """
     own = [line for line in log.lines if line.request_id == request_id]
     if not own:
         return []
     instances = {line.instance for line in own}
-    contents = set().union(*(line.contents() for line in own))
+    digests = set().union(*(line.digests() for line in own))
     targets = set().union(*(_targets_of(line) for line in own))
     causes = {line.facts.get("cause") for line in own}
-    begin = min(_arrived(line) for line in own) - timedelta(seconds=before_s)
+    begin = min(_arrival_time(line) for line in own) - timedelta(seconds=before_s)
     end = max(line.time for line in own)
 
-    def tells(line):
-        if line.message in SUSPICIONS:
-            # Of all instances and however long ago: three ends elsewhere decide.
-            return line.time <= end and bool(line.contents() & contents)
+    def is_relevant(line):
+        if line.message in QUARANTINE_MESSAGES:
+            # Include all instances and any age: a request is blocked after three
+            # crashes, which other instances may have seen.
+            return line.time <= end and bool(line.digests() & digests)
         if line.request_id is not None or line.instance not in instances:
             return line.request_id == request_id
-        if line.message in ZONES:
+        if line.message in ZONE_MESSAGES:
             return line.time <= end
-        for cause, messages in LASTING.items():
+        for cause, messages in MESSAGES_BY_CAUSE.items():
             if line.message in messages and line.time <= end:
-                # However long ago it was said. Of a request that was kept back by all
-                # targets, no line says which of them it might have had.
-                return cause in causes or bool(line.names() & targets)
-        if line.message not in BELIEFS or not begin <= line.time <= end:
+                # Include lines of any age. If all targets were throttled or backing
+                # off, no line names the targets that the request could have used.
+                return cause in causes or bool(line.target_names() & targets)
+        if line.message not in STATE_MESSAGES or not begin <= line.time <= end:
             return False
-        names = line.names()
+        names = line.target_names()
         return not names or bool(names & targets)
 
-    return [line for line in log.lines if tells(line)]
+    return [line for line in log.lines if is_relevant(line)]
 
 
 def _targets_of(line):
-    """Give the targets that were asked or tried; an attempt is "kind target ..."."""
+    """Return the checked and the tried targets; an attempt is "kind target ..."."""
     tried = {text.split(" ")[1] for text in line.facts.get("attempts", ())}
     return tried.union(line.facts.get("asked", ()))
 
 
-def _arrived(line):
+def _arrival_time(line):
     return line.time - timedelta(milliseconds=line.facts.get("after_ms", 0))
 
 
-def told(lines: list[LogLine]) -> Iterator[str]:
-    """Give one text for each line; those on the request itself are marked."""
+def format_lines(lines: list[LogLine]) -> Iterator[str]:
+    """Yield one text for each line; a "*" marks lines on the request itself."""
     for line in lines:
         mark = "*" if line.request_id is not None else " "
         when = line.time.strftime("%H:%M:%S.%f")[:-3]
-        facts = "  ".join(f"{key}={_short(v)}" for key, v in line.facts.items())
+        facts = "  ".join(f"{key}={_format_value(v)}" for key, v in line.facts.items())
         yield f"{mark} {when}  {line.instance}  {line.message}  {facts}".rstrip()
 
 
-def _short(value):
+def _format_value(value):
     if isinstance(value, list):
         return ", ".join(str(each) for each in value) or "none"
     return str(value)
--- a/packages/ctl/src/cairnferry/ctl/_files.py
+++ b/packages/ctl/src/cairnferry/ctl/_files.py
@@ -11,14 +11,14 @@
 
 @attrs.frozen
 class FileFault:
-    """A file that cannot be used.
+    """Error in a record file.
 
     Attributes
     ----------
     path : str
-        The file.
+        Path of the file.
     reason : str
-        What is wrong with it.
+        Why the file cannot be used.
     """
 
     path: str
@@ -30,18 +30,19 @@
 
 @attrs.frozen
 class RecordFile:
-    """A record from a file.
+    """Record read from a file.
 
     Attributes
     ----------
     path : str
-        Where it stands.
+        Path of the file.
     document : dict
         The record.
     kind, name : str
-        Its key.
+        Key of the record.
     revision : int or None
-        Revision that the file was made from, as `show --json` writes it.
+        Revision that the file is based on, as in the output of `show --json`; None if
+        the file contains none.
     """
 
     path: str
@@ -52,7 +53,7 @@
 
 
 def read_records(paths: list[str]) -> Result[list[RecordFile], list[FileFault]]:
-    """Read and check all records, and give them or every fault."""
+    """Read and check all record files; return the records, or all errors."""
     records = []
     faults = []
     for path in _expand(paths):
@@ -91,13 +92,13 @@
         entry = entry["record"]
     parsed = parse_record(entry)
     if parsed.is_error():
-        faults.append(FileFault(path, _described(parsed.error)))
+        faults.append(FileFault(path, _describe_error(parsed.error)))
         return
     key = parsed.ok.key
     records.append(RecordFile(path, entry, str(key.kind), key.name, revision))
 
 
-def _described(error):
+def _describe_error(error):
     if isinstance(error, MalformedRecord):
         return f"{error.record}: field {error.field}: {error.expected}"
     return str(error)
--- a/packages/ctl/src/cairnferry/ctl/_report.py
+++ b/packages/ctl/src/cairnferry/ctl/_report.py
@@ -1,4 +1,4 @@
-"""What happened over time, summed up from the log lines of all instances."""
+"""Summarise the log lines of all instances over time."""
 
 import collections
 import math
@@ -8,10 +8,10 @@
 
 from cairnferry.ctl._explain import Log, LogLine
 
-# Steps in all; more cannot be told apart in a chart.
-MOST_STEPS = 120
-# Messages on requests that ended, and what they are called in the chart.
-ENDED = {
+# Greatest number of steps; a chart cannot show more of them distinctly.
+MAX_STEPS = 120
+# Messages on completed requests, and their labels in the chart.
+OUTCOME_BY_MESSAGE = {
     "request answered": "answered",
     "request sent more than once": "sent more than once",
     "request given up": "given up",
@@ -22,39 +22,40 @@
 
 @attrs.define
 class Step:
-    """What happened in one step of time.
+    """Summary of one step of time.
 
     Attributes
     ----------
-    ended : Counter
-        Requests by how they ended; lines that were left out are counted too, in the
-        step of the line that tells of them.
-    times_ms : list of float
-        Milliseconds of the requests that have a line.
+    outcomes : Counter
+        Completed requests by outcome. Lines that were skipped are counted too, in the
+        step of the line that reports them.
+    durations_ms : list of float
+        Durations of the requests that have a line, in milliseconds.
     serving : int
-        Instances that serve and do not leave, at the end of the step.
+        Instances that serve and are not leaving, at the end of the step.
     revisions : tuple of int
-        The lowest and the highest revision in force there; empty if there is none.
+        Lowest and highest revision in force at these instances; empty if there are
+        none.
     """
 
-    ended: collections.Counter = attrs.field(factory=collections.Counter)
-    times_ms: list[float] = attrs.field(factory=list)
+    outcomes: collections.Counter = attrs.field(factory=collections.Counter)
+    durations_ms: list[float] = attrs.field(factory=list)
     serving: int = 0
     revisions: tuple[int, ...] = ()
 
 
 @attrs.frozen
 class Timeline:
-    """Steps of equal length.
+    """Summary of a log in steps of equal length.
 
     Attributes
     ----------
     begin : datetime
-        Time at which the first one begins.
+        Start of the first step.
     step_s : float
-        Length in seconds.
+        Length of a step in seconds.
     steps : list of Step
-        All steps, also those in which nothing happened.
+        All steps, including those without log lines.
     """
 
     begin: datetime
@@ -64,34 +65,34 @@
 
 @attrs.define
 class _Instances:
-    """Which instances serve, and at which revision."""
+    """Tracks the instances that serve, and the revision in force at each."""
 
     revisions: dict[str, int] = attrs.field(factory=dict)
 
-    def take(self, line: LogLine) -> None:
+    def apply(self, line: LogLine) -> None:
         match line.message:
             case "serving":
-                # It has no rules yet, whatever an earlier process had.
+                # A new process has no rules yet, even if an earlier process had.
                 self.revisions.pop(line.instance, None)
             case "in force":
                 self.revisions[line.instance] = line.facts["revision"]
             case "leaving":
                 self.revisions.pop(line.instance, None)
 
-    def show(self, step: Step) -> None:
+    def fill(self, step: Step) -> None:
         step.serving = len(self.revisions)
         if self.revisions:
             known = self.revisions.values()
             step.revisions = (min(known), max(known))
 
 
-def timeline(log: Log) -> Timeline | None:
-    """Sum the lines up by steps of time; None if there are no lines."""
+def build_timeline(log: Log) -> Timeline | None:
+    """Summarise the lines by steps of time; return None if there are no lines."""
     if not log.lines:
         return None
     begin = log.lines[0].time
     length = (log.lines[-1].time - begin).total_seconds()
-    step_s = max(1.0, math.ceil(length / MOST_STEPS))
+    step_s = max(1.0, math.ceil(length / MAX_STEPS))
     steps = [Step() for _ in range(int(length / step_s) + 1)]
     instances = _Instances()
     by_step = collections.defaultdict(list)
@@ -99,16 +100,16 @@
         by_step[int((line.time - begin).total_seconds() / step_s)].append(line)
     for index, step in enumerate(steps):
         for line in by_step[index]:
-            instances.take(line)
+            instances.apply(line)
             _count(step, line)
-        instances.show(step)
+        instances.fill(step)
     return Timeline(begin, step_s, steps)
 
 
 def _count(step, line):
-    ended = ENDED.get(line.message)
-    if ended is None:
+    outcome = OUTCOME_BY_MESSAGE.get(line.message)
+    if outcome is None:
         return
-    step.ended[ended] += 1 + line.facts.get("left_out", 0)
+    step.outcomes[outcome] += 1 + line.facts.get("left_out", 0)
     if "after_ms" in line.facts:
-        step.times_ms.append(line.facts["after_ms"])
+        step.durations_ms.append(line.facts["after_ms"])
--- a/packages/ctl/src/cairnferry/ctl/_tables.py
+++ b/packages/ctl/src/cairnferry/ctl/_tables.py
@@ -1,4 +1,4 @@
-"""Tables for people."""
+"""Human-readable tables."""
 
 from rich.console import Console
 from rich.table import Table
@@ -21,7 +21,7 @@
 
 
 def print_status(document: dict) -> None:
-    """Print all instances as one of them sees them."""
+    """Print all instances as known to one of them."""
     table = _table("instance", "zone", "state", "revision", "callers")
     for member in document["members"]:
         revision = member["revision"]
@@ -45,7 +45,7 @@
 
 
 def print_blocked(document: dict) -> None:
-    """Print the requests that are kept from targets."""
+    """Print the requests that are blocked."""
     table = _table("content", "caller", "since", "trials", "next trial")
     for block in document["blocked"]:
         table.add_row(
--- a/packages/ctl/src/cairnferry/ctl/_zones.py
+++ b/packages/ctl/src/cairnferry/ctl/_zones.py
@@ -1,4 +1,4 @@
-"""Commands that take an availability zone out of use and back."""
+"""Commands that evacuate and restore an availability zone."""
 
 import sys
 
@@ -10,7 +10,7 @@
 
 
 def evacuate(api: Api, zone: str, change_id, as_json) -> None:
-    """Send nothing more to the targets of a zone, at all daemons."""
+    """Stop sending requests from all daemons to the targets of a zone."""
     _check_name(api, zone, as_json)
     revision = known_revisions(api, as_json).get((KIND, zone))
     record = {
@@ -27,7 +27,7 @@
 
 
 def restore(api: Api, zone: str, change_id, as_json) -> None:
-    """Send to the targets of a zone again."""
+    """Resume sending requests to the targets of a zone."""
     revision = known_revisions(api, as_json).get((KIND, zone))
     if revision is None:
         print(f"cairnferry: zone {zone!r} is not evacuated", file=sys.stderr)
@@ -37,7 +37,7 @@
 
 
 def _check_name(api, zone, as_json):
-    """Exit if no target is in the zone: its name is misspelt, most of all."""
+    """Exit if no target is in the zone, as its name is probably misspelt."""
     targets = records_in_force(api, "target", as_json)
     zones = {_zone_of(entry["record"]) for entry in targets}
     if zone in zones:
@@ -51,5 +51,5 @@
 
 
 def _zone_of(document):
-    """Read the zone of a target's record of either schema version."""
+    """Return the zone in a target's record of either schema version."""
     return document.get("spec", document)["zone"]
--- a/packages/ctl/src/cairnferry/ctl/command.py
+++ b/packages/ctl/src/cairnferry/ctl/command.py
@@ -1,4 +1,4 @@
-"""Command line of the tool."""
+"""Command-line interface of the tool."""
 
 import sys
 import typing
@@ -15,16 +15,17 @@
 SERVER_VARIABLE = "CAIRNFERRY_SERVER"
 TOKEN_VARIABLE = "CAIRNFERRY_TOKEN_FILE"
 DEFAULT_TIMEOUT_S = 30.0
-# Longer than the 1.2 s for which a silent target is spared at most.
+# Longer than the 1.2 s for which a target that does not respond is avoided at most.
 DEFAULT_BEFORE_S = 2.0
 
 _Json = typing.Annotated[bool, cappa.Arg(long="--json", help="print JSON")]
 _ChangeId = typing.Annotated[
     str | None,
-    cappa.Arg(long="--change-id", help="ID of the change; made up if left out"),
+    cappa.Arg(long="--change-id", help="ID of the change; generated if omitted"),
 ]
 _Paths = typing.Annotated[
-    list[str], cappa.Arg(help="record files, or folders of them", required=True)
+    list[str],
+    cappa.Arg(help="record files, or folders of record files", required=True),
 ]
 
 
@@ -35,7 +36,7 @@
 
     paths: _Paths
     or_replace: typing.Annotated[
-        bool, cappa.Arg(long="--or-replace", help="replace those that exist")
+        bool, cappa.Arg(long="--or-replace", help="replace records that exist")
     ] = False
     change_id: _ChangeId = None
     json: _Json = False
@@ -81,7 +82,7 @@
     json: _Json = False
 
 
-@cappa.command(name="diff", help="Compare record files with what is in force.")
+@cappa.command(name="diff", help="Compare record files with the records in force.")
 @attrs.define
 class Diff:
     """Arguments of `diff`."""
@@ -98,7 +99,7 @@
     paths: _Paths
 
 
-@cappa.command(name="show", help="Say what became of a change.")
+@cappa.command(name="show", help="Show whether a change was accepted.")
 @attrs.define
 class ChangeShow:
     """Arguments of `change show`."""
@@ -107,7 +108,7 @@
     json: _Json = False
 
 
-@cappa.command(name="change", help="Ask about changes.")
+@cappa.command(name="change", help="Show changes.")
 @attrs.define
 class Change:
     """Commands of `change`."""
@@ -125,7 +126,7 @@
         cappa.Arg(long="--wait", help="wait until this revision is in force"),
     ] = None
     timeout: typing.Annotated[
-        float, cappa.Arg(long="--timeout", help="seconds to wait at most")
+        float, cappa.Arg(long="--timeout", help="longest time to wait in seconds")
     ] = DEFAULT_TIMEOUT_S
     json: _Json = False
 
@@ -136,7 +137,7 @@
     """Arguments of `dump`."""
 
 
-@cappa.command(name="drain", help="Make one daemon leave.")
+@cappa.command(name="drain", help="Drain one daemon.")
 @attrs.define
 class Drain:
     """Arguments of `drain`."""
@@ -144,7 +145,7 @@
     json: _Json = False
 
 
-@cappa.command(name="blocked", help="List requests that are kept from targets.")
+@cappa.command(name="blocked", help="List requests that are blocked.")
 @attrs.define
 class Blocked:
     """Arguments of `blocked`."""
@@ -152,16 +153,18 @@
     as_json: _Json = False
 
 
-@cappa.command(name="unblock", help="Let a request through to targets again.")
+@cappa.command(name="unblock", help="Unblock a request.")
 @attrs.define
 class Unblock:
     """Arguments of `unblock`."""
 
-    content: typing.Annotated[str, cappa.Arg(help="its digest, as in `blocked`")]
+    content: typing.Annotated[
+        str, cappa.Arg(help="digest of the request, as listed by `blocked`")
+    ]
     as_json: _Json = False
 
 
-@cappa.command(name="evacuate", help="Send nothing to the targets of a zone.")
+@cappa.command(name="evacuate", help="Stop sending requests to the targets of a zone.")
 @attrs.define
 class Evacuate:
     """Arguments of `evacuate`."""
@@ -171,7 +174,7 @@
     json: _Json = False
 
 
-@cappa.command(name="restore", help="Send to the targets of a zone again.")
+@cappa.command(name="restore", help="Resume sending requests to the targets of a zone.")
 @attrs.define
 class Restore:
     """Arguments of `restore`."""
@@ -181,29 +184,34 @@
     json: _Json = False
 
 
-@cappa.command(name="explain", help="Tell a request's life from log lines.")
+@cappa.command(name="explain", help="Explain the outcome of a request from log lines.")
 @attrs.define
 class Explain:
     """Arguments of `explain`."""
 
     request_id: typing.Annotated[str, cappa.Arg(help="ID of the request")]
     files: typing.Annotated[
-        list[str], cappa.Arg(help="log files of all instances; else standard input")
+        list[str],
+        cappa.Arg(help="log files of all instances; standard input by default"),
     ] = attrs.field(factory=list)
     before: typing.Annotated[
         float,
-        cappa.Arg(long="--before", help="seconds of changes to tell before it"),
+        cappa.Arg(
+            long="--before",
+            help="seconds of state changes to include before the request",
+        ),
     ] = DEFAULT_BEFORE_S
 
 
-@cappa.command(name="report", help="Draw what happened from log lines, as SVG.")
+@cappa.command(name="report", help="Draw charts from log lines as SVG.")
 @attrs.define
 class Report:
     """Arguments of `report`."""
 
     output: typing.Annotated[str, cappa.Arg(help="file to write")]
     files: typing.Annotated[
-        list[str], cappa.Arg(help="log files of all instances; else standard input")
+        list[str],
+        cappa.Arg(help="log files of all instances; standard input by default"),
     ] = attrs.field(factory=list)
 
 
@@ -228,10 +236,10 @@
 )
 
 
-@cappa.command(name="cairnferry", help="Tool of the operators.")
+@cappa.command(name="cairnferry", help="Command-line tool for operators.")
 @attrs.define
 class Cairnferry:
-    """Arguments before the command."""
+    """Global options and the command."""
 
     command: cappa.Subcommands[_Subcommand]
     server: typing.Annotated[
@@ -247,7 +255,7 @@
         cappa.Arg(
             long="--token-file",
             default=cappa.Env(TOKEN_VARIABLE, default=""),
-            help=f"file that holds the token ({TOKEN_VARIABLE})",
+            help=f"file with the token of the operator ({TOKEN_VARIABLE})",
         ),
     ] = ""
 
@@ -264,10 +272,10 @@
         case Report(output, files):
             _commands.report(output, files)
         case command:
-            _run(command, _api(args))
+            _run_command(command, _make_api(args))
 
 
-def _run(command, api):
+def _run_command(command, api):
     match command:
         case Submit(paths, or_replace, change_id, as_json):
             _commands.submit(api, paths, change_id, or_replace, as_json)
@@ -299,25 +307,25 @@
             _zones.restore(api, zone, change_id, as_json)
 
 
-def _api(args):
+def _make_api(args):
     try:
         address = parse_address(args.server)
     except ValueError:
-        _usage(f"--server: expected IP:port, not {args.server!r}")
-    return Api(Client(address.host, address.port), _token(args.token_file))
+        _exit_with_usage_error(f"--server: expected IP:port, not {args.server!r}")
+    return Api(Client(address.host, address.port), _read_token(args.token_file))
 
 
-def _token(path):
+def _read_token(path):
     if not path:
         return None
     try:
         with open(path, encoding="ascii") as file:
             return file.readline().strip()
     except (OSError, UnicodeDecodeError) as exc:
-        _usage(f"--token-file: {path}: {type(exc).__name__}")
+        _exit_with_usage_error(f"--token-file: {path}: {type(exc).__name__}")
 
 
-def _usage(message):
+def _exit_with_usage_error(message):
     print(f"cairnferry: {message}", file=sys.stderr)
     sys.exit(ExitCode.USAGE)
 
--- a/packages/peers/peer.thrift
+++ b/packages/peers/peer.thrift
@@ -10,7 +10,7 @@
   6: required i32 state,
 }
 
-// A note on a target that lapses by itself, such as "its health answer says that
+// A note on a target that expires by itself, such as "its health check says that
 // it is draining".
 struct Note {
   1: required string subject,
@@ -18,25 +18,25 @@
   3: required i32 remaining_ms,
 }
 
-// How new the sender's copy of a table is that daemons tell each other.
+// Version of the sender's copy of a table that daemons exchange.
 struct TableState {
   1: required string table,
-  // Version of the table's store at which the copy was exact.
+  // Version of the table in the store that the copy equals.
   2: required i64 version,
-  // Milliseconds for which rows that vanish are held, as the store was away.
+  // Milliseconds for which removed rows are kept, because the store was unavailable.
   3: required i32 grace_ms,
 }
 
 struct TableRow {
   1: required string key,
-  // Left out if the row was removed.
+  // Omitted if the row was removed.
   2: optional binary value,
   3: required i64 version,
 }
 
-// What a copy of an older version lacks.
+// Update for a copy of a table at an older version.
 struct TableNews {
-  // Whether these are all rows, and not changes alone.
+  // Whether the rows are the whole table rather than only the changed rows.
   1: required bool whole,
   2: required i64 version,
   3: required list<TableRow> rows,
@@ -46,57 +46,61 @@
   1: required MemberNews sender,
   // Revision in force at the sender.
   2: required i64 revision,
-  // Milliseconds since the sender knew its revision to be the last; -1: never.
+  // Milliseconds since the sender last confirmed that its revision is the newest; -1
+  // if it never did.
   3: required i32 confirmed_age_ms,
-  // Thousandths of the sender's capacity that are free.
+  // Free capacity of the sender, in thousandths of its capacity.
   4: required i32 spare,
   5: required list<MemberNews> news,
   6: required list<Note> notes,
-  // Daemons of earlier releases tell none.
+  // Daemons of earlier releases send none.
   7: optional list<TableState> tables,
-  // Notes on requests under which targets ended; left out if there are none.
+  // Notes on requests suspected of crashing targets; omitted if there are none.
   8: optional list<Note> suspicions,
-  // Notes on limits that targets name; left out if there are none.
+  // Notes on limits that targets declare; omitted if there are none.
   9: optional list<Note> limits,
 }
 
-// What a target said last of its limit.
+// Limit that a target declared last.
 struct LimitState {
   1: required string target,
-  // Requests a second from all daemons together; -1: it names no limit.
+  // Requests per second from all daemons together; -1 without a limit.
   2: required double per_s,
-  // Milliseconds since then.
+  // Milliseconds since the target declared it.
   3: required i32 age_ms,
-  // Milliseconds for which it is cold, and requests a second that it takes meanwhile;
-  // left out if it is warm, and by daemons of earlier releases.
+  // Milliseconds for which the target is still cold, and requests per second that it
+  // accepts during that time; omitted if it is warm, and by daemons of earlier
+  // releases.
   4: optional i32 cold_ms,
   5: optional double cold_per_s,
 }
 
+// Request for permits for one limited target.
 struct PermitsWanted {
   1: required LimitState limit,
-  // Availability zone of the target, which decides who gives permits.
+  // Availability zone of the target, which determines the permit issuer.
   2: required string zone,
   3: required i32 count,
-  // Permits that were given before and not used.
+  // Permits granted earlier that are returned unused.
   4: required i32 returned,
 }
 
+// Permits granted for one limited target.
 struct PermitsGiven {
   1: required LimitState limit,
   // Milliseconds from now after which each permit may be used.
   2: required list<i32> delays_ms,
-  // Milliseconds after which to ask again.
+  // Milliseconds after which the requester may ask again.
   3: required i32 retry_ms,
 }
 
-// What a daemon lacks of the document that holds the rules.
+// Update of the document that contains the rules.
 struct DocumentNews {
-  // Revision that this makes; 0 if there is nothing to tell now.
+  // Revision after the update; 0 if there is no update now.
   1: required i64 revision,
-  // Revision that it builds on; 0 if it is the whole document.
+  // Revision that the update applies to; 0 if it is the whole document.
   2: required i64 base,
-  // Compressed.
+  // The update, compressed.
   3: required binary packed,
 }
 
@@ -106,18 +110,18 @@
 }
 
 service Peer {
-  // Exchanges what both sides know.
+  // Exchanges the state of both daemons.
   Heartbeat heartbeat(1: Heartbeat mine),
-  // Rows of the log from `first` on, as many as fit a frame.
+  // Rows of the log from revision `first` on, as many as fit in a frame.
   list<LogRow> pull(1: i64 first),
-  // All records in force at the sender, in the form of the object store's
-  // snapshots; for a peer that is too far behind for `pull`.
+  // All records in force at the called daemon, in the format of the snapshots in the
+  // object store; for a peer that is too far behind for `pull`.
   binary snapshot(),
-  // What a copy of a table lacks that has the version; as much as fits a frame.
+  // Update for a copy of a table at the given version, as much as fits in a frame.
   TableNews news_since(1: string table, 2: i64 version),
-  // What a daemon lacks of the rules that holds a revision of them, 0 if none.
-  // Daemons of earlier releases know `snapshot` alone.
+  // Update of the rules for a daemon that has the given revision of them, 0 for none.
+  // Daemons of earlier releases implement only `snapshot`.
   DocumentNews document_since(1: i64 revision),
-  // Asks the daemon that gives permits for some limited targets.
+  // Requests permits from the daemon that issues them for some limited targets.
   list<PermitsGiven> ask_permits(1: string asker, 2: list<PermitsWanted> wanted),
 }
--- a/packages/peers/src/cairnferry/peers/__init__.py
+++ b/packages/peers/src/cairnferry/peers/__init__.py
@@ -1,12 +1,12 @@
-"""Thrift protocol between daemons: heartbeats and the changes of the log."""
+"""Thrift protocol between daemons: heartbeats, log rows, rules, tables and permits."""
 
 from cairnferry.peers._client import PeerCallFailed, PeerLink, PeerLinks
 from cairnferry.peers._keys import MIN_KEY_BYTES, KeyFileFault, KeyRing, SharedKey
 from cairnferry.peers._messages import (
     Heartbeat,
     LimitState,
-    PermitsGiven,
-    PermitsWanted,
+    PermitQuery,
+    PermitReply,
     TableState,
 )
 from cairnferry.peers._server import PeerHandler, PeerServer
@@ -24,8 +24,8 @@
     "PeerLink",
     "PeerLinks",
     "PeerServer",
-    "PermitsGiven",
-    "PermitsWanted",
+    "PermitQuery",
+    "PermitReply",
     "SharedKey",
     "TableState",
 ]
--- a/packages/peers/src/cairnferry/peers/_client.py
+++ b/packages/peers/src/cairnferry/peers/_client.py
@@ -1,4 +1,4 @@
-"""Calls to peers, one connection a peer."""
+"""Client side of the peer protocol, with one connection to each peer."""
 
 import time
 
@@ -10,19 +10,23 @@
 
 from cairnferry.coordination import DocumentNews, LogRow, TableUpdate
 from cairnferry.peers._generated.peer import Peer
-from cairnferry.peers._handshake import GREETING_BYTES, HandshakeFailed, greet
+from cairnferry.peers._handshake import (
+    HANDSHAKE_BYTES,
+    HandshakeFailed,
+    authenticate_to_server,
+)
 from cairnferry.peers._keys import KeyFileFault, KeyRing
 from cairnferry.peers._messages import (
     Heartbeat,
-    PermitsGiven,
-    PermitsWanted,
+    PermitQuery,
+    PermitReply,
     document_from_wire,
-    from_wire,
-    given_from_wire,
-    news_from_wire,
+    heartbeat_from_wire,
+    heartbeat_to_wire,
+    permit_query_to_wire,
+    permit_reply_from_wire,
     row_from_wire,
-    to_wire,
-    wanted_to_wire,
+    table_update_from_wire,
 )
 from cairnferry.peers._transport import ByteMeter, SocketTransport, framed
 from cairnferry.wire import set_no_delay
@@ -30,14 +34,14 @@
 
 @attrs.frozen
 class PeerCallFailed(Exception):
-    """A call to a peer gave no answer.
+    """A call to a peer failed.
 
     Attributes
     ----------
     address : str
-        The peer.
+        "IP:port" of the peer.
     reason : str
-        Name of the error.
+        Class name of the error that caused the failure.
     """
 
     address: str
@@ -46,75 +50,85 @@
 
 @attrs.define(eq=False)
 class PeerLink:
-    """Connection to one peer, opened when it is first needed.
+    """Connection to one peer, opened on first use.
 
     Parameters
     ----------
     address : str
         "IP:port" of the peer.
     keys : KeyRing
-        Keys of peers.
+        Keys shared by the peers.
     meter : ByteMeter
-        Counts what goes over the connection.
+        Counts the bytes sent and received on the connection.
     timeout : float
-        Seconds for one call.
-    is_far : bool
+        Timeout of one call, in seconds.
+    is_cross_zone : bool
         Whether the peer is in another availability zone.
+
+    Attributes
+    ----------
+    used_at : float
+        Monotonic time of the last call, in seconds; 0 if there was none.
     """
 
     address: str
     keys: KeyRing
     meter: ByteMeter
     timeout: float
-    is_far: bool = False
+    is_cross_zone: bool = False
     used_at: float = 0.0
     _transport: SocketTransport | None = None
     _client: Peer.Client | None = None
     _sock: socket.socket | None = None
     _lock: BoundedSemaphore = attrs.field(factory=BoundedSemaphore)
 
-    def heartbeat(self, mine: Heartbeat) -> Heartbeat:
-        """Exchange heartbeats.
+    def heartbeat(self, heartbeat: Heartbeat) -> Heartbeat:
+        """Send a heartbeat and return that of the peer.
 
         Raises
         ------
         PeerCallFailed
-            If no answer came; the connection is closed then.
+            If the call failed; the connection is then closed.
         """
         return self._call(
-            "heartbeat", lambda client: from_wire(client.heartbeat(to_wire(mine)))
+            "heartbeat",
+            lambda client: heartbeat_from_wire(
+                client.heartbeat(heartbeat_to_wire(heartbeat))
+            ),
         )
 
     def pull(self, first: int) -> list[LogRow]:
-        """Read rows of the log from the peer.
+        """Return the peer's log rows from revision `first` on.
+
+        A call returns as many rows as fit in a frame.
 
         Raises
         ------
         PeerCallFailed
-            If no answer came; the connection is closed then.
+            If the call failed; the connection is then closed.
         """
         return self._call(
             "pull", lambda client: [row_from_wire(row) for row in client.pull(first)]
         )
 
     def snapshot(self) -> bytes:
-        """Read all records in force at the peer, encoded.
+        """Return all records in force at the peer, encoded.
 
         Raises
         ------
         PeerCallFailed
-            If no answer came; the connection is closed then.
+            If the call failed; the connection is then closed.
         """
         return self._call("snapshot", lambda client: client.snapshot())
 
     def document_since(self, revision: int) -> DocumentNews:
-        """Read what is lacking of the rules where a revision of them is held.
+        """Return an update of the rules for a daemon that has a revision of them.
 
         Raises
         ------
         PeerCallFailed
-            If no answer came; the connection is closed then. A peer of an earlier
-            release does not know the call.
+            If the call failed; the connection is then closed. Peers of earlier
+            releases do not implement this call.
         """
         return self._call(
             "document",
@@ -122,49 +136,63 @@
         )
 
     def news_since(self, table: str, version: int) -> TableUpdate:
-        """Read what a copy of a table lacks that has the version.
+        """Return an update for a copy of a table at the given version.
 
         Raises
         ------
         PeerCallFailed
-            If no answer came; the connection is closed then.
+            If the call failed; the connection is then closed.
         """
         return self._call(
             f"news-of-{table}",
-            lambda client: news_from_wire(client.news_since(table, version)),
+            lambda client: table_update_from_wire(client.news_since(table, version)),
         )
 
-    def ask_permits(
-        self, asker: str, wanted: tuple[PermitsWanted, ...]
-    ) -> list[PermitsGiven]:
-        """Ask for permits to send to limited targets.
+    def request_permits(
+        self, requester: str, queries: tuple[PermitQuery, ...]
+    ) -> list[PermitReply]:
+        """Request permits to send requests to limited targets.
+
+        Parameters
+        ----------
+        requester : str
+            Name of the daemon that requests them.
+        queries : tuple of PermitQuery
+            One query for each target.
+
+        Returns
+        -------
+        list of PermitReply
+            Replies in the order of the queries.
 
         Raises
         ------
         PeerCallFailed
-            If no answer came; the connection is closed then.
+            If the call failed; the connection is then closed.
         """
-        messages = [wanted_to_wire(each) for each in wanted]
+        messages = [permit_query_to_wire(query) for query in queries]
         return self._call(
             "permits",
             lambda client: [
-                given_from_wire(given) for given in client.ask_permits(asker, messages)
+                permit_reply_from_wire(reply)
+                for reply in client.ask_permits(requester, messages)
             ],
         )
 
     def _call(self, kind, operation):
-        # An answer that comes after its call was given up would be taken for
-        # the answer to the next one. So each failure closes the connection.
+        # The answer to a call that timed out may still arrive and would be taken
+        # for the answer to the next call. Each failure therefore closes the
+        # connection.
         with self._lock:
             self.used_at = time.monotonic()
             try:
                 if self._client is None:
                     self._open()
                 self._sock.settimeout(self.timeout)
-                before = self._transport.total
+                bytes_before = self._transport.total
                 result = operation(self._client)
-                count = self._transport.total - before
-                self.meter.note_call(kind, self.is_far, count)
+                count = self._transport.total - bytes_before
+                self.meter.count_call(kind, self.is_cross_zone, count)
             except (
                 OSError,
                 EOFError,
@@ -188,15 +216,15 @@
         self._sock = sock
         set_no_delay(sock)
         sock.settimeout(self.timeout)
-        greet(sock, self.keys)
-        self.meter.note_call("greeting", self.is_far, GREETING_BYTES)
+        authenticate_to_server(sock, self.keys)
+        self.meter.count_call("greeting", self.is_cross_zone, HANDSHAKE_BYTES)
         self._transport = SocketTransport(sock, self.meter)
         factory = TCompactProtocolAcceleratedFactory()
         protocol = factory.getProtocol(framed(self._transport))
         self._client = Peer.Client(protocol)
 
     def close(self) -> None:
-        """Close the connection; the next call opens another."""
+        """Close the connection; the next call opens a new one."""
         if self._sock is not None:
             self._sock.close()
         self._sock = None
@@ -205,7 +233,7 @@
 
 @attrs.define
 class PeerLinks:
-    """Links by address; those long unused are closed.
+    """Links to peers by address; links unused for a long time are closed.
 
     Parameters
     ----------
@@ -218,16 +246,24 @@
     timeout: float
     _links: dict[str, PeerLink] = attrs.field(factory=dict)
 
-    def to(self, address: str, is_far: bool = False) -> PeerLink:
-        """Give the link to an address, which may be in another availability zone."""
+    def link_to(self, address: str, is_cross_zone: bool = False) -> PeerLink:
+        """Return the link to a peer, creating it if there is none.
+
+        Parameters
+        ----------
+        address : str
+            "IP:port" of the peer.
+        is_cross_zone : bool
+            Whether the peer is in another availability zone.
+        """
         link = self._links.get(address)
         if link is None:
-            link = PeerLink(address, self.keys, self.meter, self.timeout, is_far)
+            link = PeerLink(address, self.keys, self.meter, self.timeout, is_cross_zone)
             self._links[address] = link
         return link
 
     def close_unused(self, since: float) -> None:
-        """Close the links that were last used before a monotonic time."""
+        """Close the links last used before `since`, a monotonic time in seconds."""
         for address, link in list(self._links.items()):
             if link.used_at < since:
                 link.close()
--- a/packages/peers/src/cairnferry/peers/_handshake.py
+++ b/packages/peers/src/cairnferry/peers/_handshake.py
@@ -1,9 +1,9 @@
-"""Mutual proof of a shared key, before any frame is read.
+"""Mutual authentication by a shared key, before any frame is read.
 
-The side that connects sends: magic, identifier of its key, nonce. The other
-answers: its nonce, and a keyed hash over both. The first proves itself by a
-second hash. Every message has a fixed size, so that nothing of unknown length
-is read from a side that has not proved itself.
+The client sends magic bytes, the identifier of its key and a nonce. The server
+answers with its own nonce and a keyed hash (HMAC) over both nonces. The client then
+sends a second keyed hash. Every message has a fixed size, so that no data of unknown
+length is read from a peer that is not authenticated.
 """
 
 import hashlib
@@ -17,64 +17,77 @@
 MAGIC = b"CFP1"
 NONCE_BYTES = 32
 MAC_BYTES = 32
-# Bytes of a whole greeting, both ways.
-GREETING_BYTES = len(MAGIC) + KEY_ID_BYTES + 2 * NONCE_BYTES + 2 * MAC_BYTES
+# Bytes of a whole handshake, in both directions.
+HANDSHAKE_BYTES = len(MAGIC) + KEY_ID_BYTES + 2 * NONCE_BYTES + 2 * MAC_BYTES
 _SERVER_LABEL = b"server"
 _CLIENT_LABEL = b"client"
 
 
 @attrs.frozen
 class HandshakeFailed(Exception):
-    """The other side is not a peer, or holds other keys."""
+    """The other side is not a peer or has other keys.
+
+    Attributes
+    ----------
+    reason : str
+        Which step of the handshake failed.
+    """
 
     reason: str
 
 
-def greet(sock, keys: KeyRing) -> None:
-    """Authenticate as the side that connects.
+def authenticate_to_server(sock, keys: KeyRing) -> None:
+    """Perform the handshake as the client.
 
     Raises
     ------
     HandshakeFailed
-        If the other side does not prove the key.
+        If the server does not prove that it has the key.
+    KeyFileFault
+        If there is no key.
     """
-    key = keys.own()
-    mine = os.urandom(NONCE_BYTES)
-    sock.sendall(MAGIC + identify(key) + mine)
+    key = keys.own_key()
+    own_nonce = os.urandom(NONCE_BYTES)
+    sock.sendall(MAGIC + identify(key) + own_nonce)
     answer = _read_exactly(sock, NONCE_BYTES + MAC_BYTES)
-    theirs = answer[:NONCE_BYTES]
-    if not hmac.compare_digest(answer[NONCE_BYTES:], _mac(key, mine, theirs, True)):
-        raise HandshakeFailed("the other side holds another key")
-    sock.sendall(_mac(key, mine, theirs, False))
+    peer_nonce = answer[:NONCE_BYTES]
+    if not hmac.compare_digest(
+        answer[NONCE_BYTES:], _mac(key, own_nonce, peer_nonce, True)
+    ):
+        raise HandshakeFailed("the server has another key")
+    sock.sendall(_mac(key, own_nonce, peer_nonce, False))
 
 
-def welcome(sock, keys: KeyRing) -> None:
-    """Authenticate as the side that is connected to.
+def authenticate_client(sock, keys: KeyRing) -> None:
+    """Perform the handshake as the server.
 
     Raises
     ------
     HandshakeFailed
-        If the other side does not prove a known key.
+        If the client does not prove that it has one of the keys.
+    KeyFileFault
+        If there is no key.
     """
-    greeting = _read_exactly(sock, len(MAGIC) + KEY_ID_BYTES + NONCE_BYTES)
-    if not greeting.startswith(MAGIC):
+    hello = _read_exactly(sock, len(MAGIC) + KEY_ID_BYTES + NONCE_BYTES)
+    if not hello.startswith(MAGIC):
         raise HandshakeFailed("not the peer protocol")
-    key_id = greeting[len(MAGIC) : len(MAGIC) + KEY_ID_BYTES]
-    key = keys.find(key_id)
+    key_id = hello[len(MAGIC) : len(MAGIC) + KEY_ID_BYTES]
+    key = keys.find_key(key_id)
     if key is None:
         raise HandshakeFailed("unknown key")
-    theirs = greeting[-NONCE_BYTES:]
-    mine = os.urandom(NONCE_BYTES)
-    sock.sendall(mine + _mac(key, theirs, mine, True))
-    proof = _read_exactly(sock, MAC_BYTES)
-    if not hmac.compare_digest(proof, _mac(key, theirs, mine, False)):
-        raise HandshakeFailed("wrong proof")
+    peer_nonce = hello[-NONCE_BYTES:]
+    own_nonce = os.urandom(NONCE_BYTES)
+    sock.sendall(own_nonce + _mac(key, peer_nonce, own_nonce, True))
+    client_mac = _read_exactly(sock, MAC_BYTES)
+    if not hmac.compare_digest(client_mac, _mac(key, peer_nonce, own_nonce, False)):
+        raise HandshakeFailed("wrong keyed hash")
 
 
-def _mac(key, connecting_nonce, connected_nonce, from_server):
-    # Without the label a proof could be reflected to the side that made it.
+def _mac(key, client_nonce, server_nonce, from_server):
+    # The label differs by side. Without it, the hash of one side could be sent back
+    # to that side as a valid answer (reflection attack).
     label = _SERVER_LABEL if from_server else _CLIENT_LABEL
-    message = label + connecting_nonce + connected_nonce
+    message = label + client_nonce + server_nonce
     return hmac.new(key, message, hashlib.sha256).digest()
 
 
--- a/packages/peers/src/cairnferry/peers/_keys.py
+++ b/packages/peers/src/cairnferry/peers/_keys.py
@@ -1,4 +1,4 @@
-"""Shared keys of the peers, with rotation."""
+"""Keys shared by the peers, with rotation."""
 
 import hashlib
 import os
@@ -18,7 +18,7 @@
     path : str
         The file.
     reason : str
-        What is wrong, without any part of a key.
+        What is wrong; contains no part of a key.
     """
 
     path: str
@@ -30,16 +30,17 @@
 
 @attrs.define
 class KeyRing:
-    """Keys from a file, one in hexadecimal digits on each line.
+    """Keys from a file with one key in hexadecimal digits on each line.
 
-    The first key is used for own calls, every key is accepted from others. To
-    rotate, add the new key as the last one everywhere, then move it to the
-    front everywhere, then remove the old one. No restart is needed.
+    The first key authenticates connections that this daemon opens; every key is
+    accepted from peers. To rotate keys without a restart, append the new key to the
+    files of all daemons, then move it to the first line of all files, then remove
+    the old key.
 
     Parameters
     ----------
     path : str
-        The file; it is read again when its time of change differs.
+        The file; it is read again when its modification time, size or inode changes.
     """
 
     path: str
@@ -47,12 +48,12 @@
     _stamp: tuple = ()
 
     def load(self) -> None:
-        """Read the file if it changed.
+        """Read the file if it has changed.
 
         Raises
         ------
         KeyFileFault
-            If it cannot be used; keys read before stay in use.
+            If the file cannot be used; keys read earlier stay in use.
         """
         try:
             stat = os.stat(self.path)
@@ -72,19 +73,31 @@
         except ValueError as exc:
             raise KeyFileFault(self.path, "a line is not hexadecimal") from exc
         if not keys:
-            raise KeyFileFault(self.path, "holds no key")
+            raise KeyFileFault(self.path, "contains no key")
         if any(len(key) < MIN_KEY_BYTES for key in keys):
             reason = f"a key has fewer than {MIN_KEY_BYTES} bytes"
             raise KeyFileFault(self.path, reason)
         return keys
 
-    def own(self) -> bytes:
-        """Give the key for own calls."""
+    def own_key(self) -> bytes:
+        """Return the key for connections that this daemon opens.
+
+        Raises
+        ------
+        KeyFileFault
+            If the file cannot be used and no key was read earlier.
+        """
         self._reload()
         return self._keys[0]
 
-    def find(self, key_id: bytes) -> bytes | None:
-        """Give the key with an identifier."""
+    def find_key(self, key_id: bytes) -> bytes | None:
+        """Return the key with an identifier, or None if there is none.
+
+        Raises
+        ------
+        KeyFileFault
+            If the file cannot be used and no key was read earlier.
+        """
         self._reload()
         for key in self._keys:
             if identify(key) == key_id:
@@ -92,8 +105,8 @@
         return None
 
     def _reload(self):
-        # A file that is being replaced may be unreadable for a moment. Peers
-        # would lose each other if that emptied the ring.
+        # A file that is being replaced may be unreadable for a moment. Without
+        # keys, the peers would lose contact with each other.
         try:
             self.load()
         except KeyFileFault:
@@ -103,42 +116,54 @@
 
 @attrs.define
 class SharedKey:
-    """One key that is learnt after the start, where there is no file to hold it.
+    """One key that is set after the start, for daemons without a key file.
 
-    Until it is known every handshake fails, as it would with a wrong one.
+    Every handshake fails until the key is set, as it would with a wrong key.
     """
 
     _key: bytes = attrs.field(default=b"", repr=False)
 
     @property
     def is_set(self) -> bool:
-        """Whether the key is known."""
+        """Whether the key is set."""
         return bool(self._key)
 
     def set(self, key: bytes) -> None:
-        """Use a key from now on.
+        """Set the key.
 
         Raises
         ------
         ValueError
-            If it is too short to be one.
+            If the key has fewer than `MIN_KEY_BYTES` bytes.
         """
         if len(key) < MIN_KEY_BYTES:
             raise ValueError(f"a key has fewer than {MIN_KEY_BYTES} bytes")
         self._key = key
 
-    def own(self) -> bytes:
-        """Give the key for own calls."""
+    def own_key(self) -> bytes:
+        """Return the key for connections that this daemon opens.
+
+        Raises
+        ------
+        KeyFileFault
+            If the key is not set.
+        """
         if not self._key:
-            raise KeyFileFault("shared key", "not known yet")
+            raise KeyFileFault("shared key", "not set yet")
         return self._key
 
-    def find(self, key_id: bytes) -> bytes | None:
-        """Give the key with an identifier."""
-        key = self.own()
+    def find_key(self, key_id: bytes) -> bytes | None:
+        """Return the key if it has this identifier, or None.
+
+        Raises
+        ------
+        KeyFileFault
+            If the key is not set.
+        """
+        key = self.own_key()
         return key if identify(key) == key_id else None
 
 
 def identify(key: bytes) -> bytes:
-    """Give a short identifier of a key that does not reveal it."""
+    """Return a short identifier that does not reveal the key."""
     return hashlib.blake2b(key, digest_size=KEY_ID_BYTES).digest()
--- a/packages/peers/src/cairnferry/peers/_messages.py
+++ b/packages/peers/src/cairnferry/peers/_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the protocol in the project's own types."""
+"""Messages of the protocol in the project's own types, and their conversion."""
 
 import math
 
@@ -15,24 +15,27 @@
 )
 from cairnferry.peers._generated.peer import ttypes
 
+# Value on the wire of an infinite age.
 NEVER_CONFIRMED = -1
+# Value on the wire of the rate of a target without a limit.
 NO_LIMIT_ON_WIRE = -1.0
 MS_PER_S = 1000
+# Largest value of an i32 on the wire.
 MAX_AGE_MS = 2**31 - 1
 
 
 @attrs.frozen
 class TableState:
-    """How new a daemon's copy of a table is.
+    """Version of a daemon's copy of a table.
 
     Attributes
     ----------
     table : str
-        The table.
+        Name of the table.
     version : int
-        Version at which the copy is exact.
+        Version of the table that the copy equals.
     grace_s : float
-        Seconds for which rows that vanish are held, as the store was away.
+        Seconds for which removed rows are kept, because the store was unavailable.
     """
 
     table: str
@@ -42,36 +45,36 @@
 
 @attrs.frozen
 class Heartbeat:
-    """What one daemon tells another.
+    """State that a daemon sends to a peer.
 
     Attributes
     ----------
     sender : Member
-        The daemon that speaks.
+        The daemon that sends the heartbeat.
     revision : int
-        Revision in force there.
+        Revision in force at the sender.
     confirmed_age : float
-        Seconds since the sender knew its revision to be the last; may be
-        infinite.
+        Seconds since the sender last confirmed that its revision is the newest; may
+        be infinite.
     spare : int
-        Thousandths of the sender's capacity that are free.
-    news : tuple of Member
-        News of other members.
+        Free capacity of the sender, in thousandths of its capacity.
+    member_updates : tuple of Member
+        Changed state of other members.
     notes : tuple of Note
         Notes on targets.
     tables : tuple of TableState
-        Copies of tables that daemons tell each other.
+        Copies of the tables that daemons exchange.
     suspicions : tuple of Note
-        Notes on requests under which targets ended.
+        Notes on requests suspected of crashing targets.
     limits : tuple of Note
-        Notes on limits that targets name.
+        Notes on limits that targets declare.
     """
 
     sender: Member
     revision: int
     confirmed_age: float
     spare: int
-    news: tuple[Member, ...]
+    member_updates: tuple[Member, ...]
     notes: tuple[Note, ...] = ()
     tables: tuple[TableState, ...] = ()
     suspicions: tuple[Note, ...] = ()
@@ -80,19 +83,19 @@
 
 @attrs.frozen
 class LimitState:
-    """What a target said last of its limit.
+    """Limit that a target declared last.
 
     Attributes
     ----------
     target : str
-        Name of the target's start.
+        Name of this run of the target; it changes when the target restarts.
     per_s : float
-        Requests a second from all daemons together; infinite if it names no limit.
+        Requests per second from all daemons together; infinite without a limit.
     age : float
-        Seconds since then.
+        Seconds since the target declared it.
     cold_s, cold_per_s : float
-        Seconds for which it is cold, and requests a second that it takes meanwhile; 0
-        if it is warm.
+        Seconds for which the target is still cold, and requests per second that it
+        accepts during that time; 0 if it is warm.
     """
 
     target: str
@@ -103,17 +106,17 @@
 
 
 @attrs.frozen
-class PermitsWanted:
-    """What a daemon asks for, for one limited target.
+class PermitQuery:
+    """Request of a daemon for permits for one limited target.
 
     Attributes
     ----------
     limit : LimitState
-        What it knows of the limit.
+        Limit of the target as known to the requester.
     zone : str
         Availability zone of the target.
     count, returned : int
-        Permits that it asks for, and gives back unused.
+        Number of permits requested, and number of unused permits returned.
     """
 
     limit: LimitState
@@ -123,17 +126,17 @@
 
 
 @attrs.frozen
-class PermitsGiven:
-    """What it gets.
+class PermitReply:
+    """Reply of the permit issuer to a `PermitQuery`.
 
     Attributes
     ----------
     limit : LimitState
-        What the one that gives permits knows of the limit.
+        Limit of the target as known to the issuer.
     delays : tuple of float
         Seconds after which each permit may be used.
     retry_s : float
-        Seconds after which to ask again.
+        Seconds after which the requester may send another query.
     """
 
     limit: LimitState
@@ -141,36 +144,36 @@
     retry_s: float
 
 
-def to_wire(heartbeat: Heartbeat) -> ttypes.Heartbeat:
-    """Turn a heartbeat into the generated type."""
+def heartbeat_to_wire(heartbeat: Heartbeat) -> ttypes.Heartbeat:
+    """Convert a heartbeat to the generated type."""
     return ttypes.Heartbeat(
         sender=_member_to_wire(heartbeat.sender),
         revision=heartbeat.revision,
         confirmed_age_ms=_age_to_wire(heartbeat.confirmed_age),
         spare=heartbeat.spare,
-        news=[_member_to_wire(member) for member in heartbeat.news],
+        news=[_member_to_wire(member) for member in heartbeat.member_updates],
         notes=[_note_to_wire(note) for note in heartbeat.notes],
-        # Left out if there are none, as by daemons of earlier releases.
+        # Omitted if empty, as in heartbeats of earlier releases.
         tables=[_state_to_wire(state) for state in heartbeat.tables] or None,
         suspicions=[_note_to_wire(note) for note in heartbeat.suspicions] or None,
         limits=[_note_to_wire(note) for note in heartbeat.limits] or None,
     )
 
 
-def from_wire(message: ttypes.Heartbeat) -> Heartbeat:
-    """Turn a generated heartbeat into the project's type.
+def heartbeat_from_wire(message: ttypes.Heartbeat) -> Heartbeat:
+    """Convert a generated heartbeat to the project's type.
 
     Raises
     ------
     ValueError
-        If a state is not one of those known.
+        If the state of a member is unknown.
     """
     return Heartbeat(
         sender=_member_from_wire(message.sender),
         revision=message.revision,
         confirmed_age=_age_from_wire(message.confirmed_age_ms),
         spare=message.spare,
-        news=tuple(_member_from_wire(member) for member in message.news),
+        member_updates=tuple(_member_from_wire(member) for member in message.news),
         notes=tuple(_note_from_wire(note) for note in message.notes),
         tables=tuple(_state_from_wire(state) for state in message.tables or ()),
         suspicions=tuple(_note_from_wire(note) for note in message.suspicions or ()),
@@ -179,12 +182,12 @@
 
 
 def row_to_wire(row: LogRow) -> ttypes.LogRow:
-    """Turn a row of the log into the generated type."""
+    """Convert a log row to the generated type."""
     return ttypes.LogRow(revision=row.revision, body=row.to_body())
 
 
 def row_from_wire(message: ttypes.LogRow) -> LogRow:
-    """Turn a generated row into the project's type.
+    """Convert a generated log row to the project's type.
 
     Raises
     ------
@@ -194,52 +197,64 @@
     return LogRow.from_body(message.revision, message.body)
 
 
-def news_to_wire(news: TableUpdate) -> ttypes.TableNews:
-    """Turn news of a table into the generated type."""
-    rows = [ttypes.TableRow(row.key, row.value, row.version) for row in news.rows]
-    return ttypes.TableNews(news.whole, news.version, rows)
+def table_update_to_wire(update: TableUpdate) -> ttypes.TableNews:
+    """Convert an update of a table to the generated type."""
+    rows = [ttypes.TableRow(row.key, row.value, row.version) for row in update.rows]
+    return ttypes.TableNews(update.whole, update.version, rows)
 
 
-def news_from_wire(message: ttypes.TableNews) -> TableUpdate:
-    """Turn generated news of a table into the project's type."""
+def table_update_from_wire(message: ttypes.TableNews) -> TableUpdate:
+    """Convert a generated update of a table to the project's type."""
     rows = tuple(Row(row.key, row.value, row.version) for row in message.rows)
     return TableUpdate(message.whole, rows, message.version)
 
 
-def document_to_wire(news: DocumentNews) -> ttypes.DocumentNews:
-    """Turn news of the rules into the generated type."""
-    return ttypes.DocumentNews(news.revision, news.base, news.packed)
+def document_to_wire(update: DocumentNews) -> ttypes.DocumentNews:
+    """Convert an update of the rules to the generated type."""
+    return ttypes.DocumentNews(update.revision, update.base, update.packed)
 
 
 def document_from_wire(message: ttypes.DocumentNews) -> DocumentNews:
-    """Turn generated news of the rules into the project's type."""
+    """Convert a generated update of the rules to the project's type."""
     return DocumentNews(message.revision, message.base, message.packed)
 
 
-def wanted_to_wire(wanted: PermitsWanted) -> ttypes.PermitsWanted:
-    """Turn what is asked for into the generated type."""
-    limit = _limit_to_wire(wanted.limit)
-    return ttypes.PermitsWanted(limit, wanted.zone, wanted.count, wanted.returned)
+def permit_query_to_wire(query: PermitQuery) -> ttypes.PermitsWanted:
+    """Convert a permit query to the generated type."""
+    limit = _limit_to_wire(query.limit)
+    return ttypes.PermitsWanted(limit, query.zone, query.count, query.returned)
 
 
-def wanted_from_wire(message: ttypes.PermitsWanted) -> PermitsWanted:
-    """Turn what is asked for into the project's type."""
+def permit_query_from_wire(message: ttypes.PermitsWanted) -> PermitQuery:
+    """Convert a generated permit query to the project's type.
+
+    Raises
+    ------
+    ValueError
+        If a rate of its limit is not a usable number.
+    """
     limit = _limit_from_wire(message.limit)
-    return PermitsWanted(limit, message.zone, message.count, message.returned)
+    return PermitQuery(limit, message.zone, message.count, message.returned)
 
 
-def given_to_wire(given: PermitsGiven) -> ttypes.PermitsGiven:
-    """Turn what is given into the generated type."""
-    delays = [int(delay * MS_PER_S) for delay in given.delays]
-    retry_ms = int(given.retry_s * MS_PER_S)
-    return ttypes.PermitsGiven(_limit_to_wire(given.limit), delays, retry_ms)
+def permit_reply_to_wire(reply: PermitReply) -> ttypes.PermitsGiven:
+    """Convert a permit reply to the generated type."""
+    delays = [int(delay * MS_PER_S) for delay in reply.delays]
+    retry_ms = int(reply.retry_s * MS_PER_S)
+    return ttypes.PermitsGiven(_limit_to_wire(reply.limit), delays, retry_ms)
 
 
-def given_from_wire(message: ttypes.PermitsGiven) -> PermitsGiven:
-    """Turn what is given into the project's type."""
+def permit_reply_from_wire(message: ttypes.PermitsGiven) -> PermitReply:
+    """Convert a generated permit reply to the project's type.
+
+    Raises
+    ------
+    ValueError
+        If a rate of its limit is not a usable number.
+    """
     delays = tuple(delay / MS_PER_S for delay in message.delays_ms)
     limit = _limit_from_wire(message.limit)
-    return PermitsGiven(limit, delays, message.retry_ms / MS_PER_S)
+    return PermitReply(limit, delays, message.retry_ms / MS_PER_S)
 
 
 def _limit_to_wire(state):
@@ -251,12 +266,13 @@
 
 
 def _limit_from_wire(message):
-    """Read a limit.
+    """Convert a generated limit to the project's type.
 
     Raises
     ------
     ValueError
-        If it is no number of requests; it would compare with nothing.
+        If the limit is NaN, as every comparison with it would be false, or if the
+        rate of a cold target is not finite.
     """
     cold_per_s = message.cold_per_s or 0.0
     if math.isnan(message.per_s) or not math.isfinite(cold_per_s):
--- a/packages/peers/src/cairnferry/peers/_server.py
+++ b/packages/peers/src/cairnferry/peers/_server.py
@@ -1,4 +1,4 @@
-"""Listener for peers: one task for each connection."""
+"""Server side of the peer protocol, with one greenlet for each connection."""
 
 import logging
 import typing
@@ -10,22 +10,22 @@
 
 from cairnferry.coordination import DocumentNews, LogRow, TableUpdate
 from cairnferry.peers._generated.peer import Peer
-from cairnferry.peers._handshake import HandshakeFailed, welcome
+from cairnferry.peers._handshake import HandshakeFailed, authenticate_client
 from cairnferry.peers._keys import KeyFileFault, KeyRing
 from cairnferry.peers._messages import (
     Heartbeat,
-    PermitsGiven,
-    PermitsWanted,
+    PermitQuery,
+    PermitReply,
     document_to_wire,
-    from_wire,
-    given_to_wire,
-    news_to_wire,
+    heartbeat_from_wire,
+    heartbeat_to_wire,
+    permit_query_from_wire,
+    permit_reply_to_wire,
     row_to_wire,
-    to_wire,
-    wanted_from_wire,
+    table_update_to_wire,
 )
 from cairnferry.peers._transport import (
-    MAX_FRAME,
+    MAX_FRAME_BYTES,
     ByteMeter,
     SocketTransport,
     framed,
@@ -35,55 +35,57 @@
 HANDSHAKE_TIMEOUT_S = 2.0
 IDLE_TIMEOUT_S = 120.0
 MAX_CONNECTIONS = 512
-# Leaves room in a frame for the envelope of the list.
-MAX_PULL_BYTES = MAX_FRAME // 2
+# Leaves space in a frame for the Thrift envelope of the list of rows.
+MAX_PULL_BYTES = MAX_FRAME_BYTES // 2
 
 log = logging.getLogger(__name__)
 
 
 class PeerHandler(typing.Protocol):
-    """What a daemon does with calls of its peers."""
+    """Answers the calls of peers; implemented by the daemon."""
 
-    def heartbeat(self, theirs: Heartbeat) -> Heartbeat:
-        """Take in what a peer knows; answer with what is known here."""
+    def heartbeat(self, heartbeat: Heartbeat) -> Heartbeat:
+        """Apply the heartbeat of a peer and return that of this daemon."""
 
     def rows_from(self, first: int) -> list[LogRow]:
-        """Give the rows of the log held here, from a revision on."""
+        """Return the log rows of this daemon from revision `first` on."""
 
     def snapshot(self) -> bytes:
-        """Give all records in force here, encoded."""
+        """Return all records in force at this daemon, encoded."""
 
     def document_since(self, revision: int) -> DocumentNews:
-        """Give what a peer lacks of the rules that holds a revision."""
+        """Return an update of the rules for a peer that has a revision of them."""
 
     def news_since(self, table: str, version: int) -> TableUpdate:
-        """Give what a copy of a table lacks that has the version."""
+        """Return an update for a copy of a table at the given version."""
 
     def issue_permits(
-        self, asker: str, wanted: list[PermitsWanted]
-    ) -> list[PermitsGiven]:
-        """Give a daemon permits to send to limited targets."""
+        self, requester: str, queries: list[PermitQuery]
+    ) -> list[PermitReply]:
+        """Issue permits to send requests to limited targets to a daemon."""
 
 
-class _Adapter:
-    """Implements the generated interface on top of a handler."""
+class _ThriftAdapter:
+    """Implements the generated Thrift interface by means of a `PeerHandler`."""
 
     def __init__(self, handler):
         self._handler = handler
 
-    def heartbeat(self, mine):
-        return to_wire(self._handler.heartbeat(from_wire(mine)))
+    def heartbeat(self, heartbeat):
+        return heartbeat_to_wire(
+            self._handler.heartbeat(heartbeat_from_wire(heartbeat))
+        )
 
     def pull(self, first):
-        chosen = []
+        messages = []
         size = 0
         for row in self._handler.rows_from(first):
             message = row_to_wire(row)
             size += len(message.body)
-            if chosen and size > MAX_PULL_BYTES:
+            if messages and size > MAX_PULL_BYTES:
                 break
-            chosen.append(message)
-        return chosen
+            messages.append(message)
+        return messages
 
     def snapshot(self):
         return self._handler.snapshot()
@@ -92,12 +94,12 @@
         return document_to_wire(self._handler.document_since(revision))
 
     def news_since(self, table, version):
-        return news_to_wire(self._handler.news_since(table, version))
+        return table_update_to_wire(self._handler.news_since(table, version))
 
-    def ask_permits(self, asker, wanted):
-        asked = [wanted_from_wire(each) for each in wanted]
-        given = self._handler.issue_permits(asker, asked)
-        return [given_to_wire(each) for each in given]
+    def ask_permits(self, requester, queries):
+        parsed = [permit_query_from_wire(each) for each in queries]
+        replies = self._handler.issue_permits(requester, parsed)
+        return [permit_reply_to_wire(each) for each in replies]
 
 
 class PeerServer:
@@ -106,17 +108,22 @@
     Parameters
     ----------
     address : tuple of (str, int)
-        Where to listen.
+        Host and port to listen on.
     handler : PeerHandler
         Answers the calls.
     keys : KeyRing
-        Keys of peers.
+        Keys shared by the peers.
     meter : ByteMeter
-        Counts what goes over the connections.
+        Counts the bytes sent and received on the connections.
+
+    Attributes
+    ----------
+    connections : int
+        Open connections.
     """
 
     def __init__(self, address, handler: PeerHandler, keys: KeyRing, meter: ByteMeter):
-        self._processor = Peer.Processor(_Adapter(handler))
+        self._processor = Peer.Processor(_ThriftAdapter(handler))
         self._factory = TCompactProtocolAcceleratedFactory()
         self._keys = keys
         self._meter = meter
@@ -125,11 +132,11 @@
 
     @property
     def port(self) -> int:
-        """Port that it listens on."""
+        """Port that the server listens on."""
         return self._server.server_port
 
     def start(self) -> None:
-        """Listen and serve."""
+        """Start listening."""
         self._server.start()
 
     def stop(self) -> None:
@@ -141,19 +148,25 @@
         sock.settimeout(HANDSHAKE_TIMEOUT_S)
         self.connections += 1
         try:
-            welcome(sock, self._keys)
+            authenticate_client(sock, self._keys)
             sock.settimeout(IDLE_TIMEOUT_S)
             self._process(framed(SocketTransport(sock, self._meter)))
         except HandshakeFailed as exc:
-            log.warning("peer refused", extra={"peer": address[0], "why": exc.reason})
+            log.warning(
+                "peer failed the handshake",
+                extra={"peer": address[0], "why": exc.reason},
+            )
         except KeyFileFault as exc:
-            log.error("no peer keys", extra={"why": str(exc)})
+            log.error("peer keys cannot be used", extra={"why": str(exc)})
         except (OSError, EOFError, TException):
-            # The other side is gone or speaks another protocol; its own calls
-            # have failed, and it decides what to do.
+            # The peer has disconnected or uses another protocol. Its calls have
+            # failed on its side, which handles the error.
             pass
         except (ValueError, TypeError) as exc:
-            log.warning("peer frame", extra={"peer": address[0], "why": str(exc)})
+            log.warning(
+                "malformed frame from a peer",
+                extra={"peer": address[0], "why": str(exc)},
+            )
         finally:
             self.connections -= 1
             sock.close()
--- a/packages/peers/src/cairnferry/peers/_transport.py
+++ b/packages/peers/src/cairnferry/peers/_transport.py
@@ -1,48 +1,72 @@
-"""Thrift transport over a gevent socket, counting bytes."""
+"""Thrift transport over a gevent socket that counts bytes."""
 
 import collections
 
 import attrs
 from thrift.transport.TTransport import TFramedTransport, TTransportBase
 
-MAX_FRAME = 2 * 1024 * 1024
+MAX_FRAME_BYTES = 2 * 1024 * 1024
 
 
 @attrs.define
 class ByteMeter:
-    """Bytes of frames since the start, and the messages that they made.
+    """Bytes of frames and number of messages since the start.
 
     Attributes
     ----------
     sent, received : int
-        Bytes, of all connections.
+        Bytes on all connections.
     messages : int
-        Calls that were answered, made here or by others.
+        Answered calls, both from and to this daemon.
     called : Counter
-        Bytes of calls made here, both ways, by what the call was for and whether the
-        peer is in another availability zone: such bytes have a price.
+        Bytes of calls from this daemon, in both directions, by kind of call and by
+        "far" or "near" (whether the peer is in another availability zone). Traffic
+        between zones is billed.
     """
 
     sent: int = 0
     received: int = 0
     messages: int = 0
-    called: collections.Counter = attrs.field(factory=collections.Counter)
+    call_bytes: collections.Counter = attrs.field(factory=collections.Counter)
 
-    def note_call(self, kind: str, is_far: bool, count: int) -> None:
-        """Count the bytes of a call made here."""
-        self.called[kind, "far" if is_far else "near"] += count
+    def count_call(self, kind: str, is_cross_zone: bool, count: int) -> None:
+        """Count the bytes of a call from this daemon.
+
+        Parameters
+        ----------
+        kind : str
+            Kind of call.
+        is_cross_zone : bool
+            Whether the peer is in another availability zone.
+        count : int
+            Bytes in both directions.
+        """
+        self.call_bytes[kind, "far" if is_cross_zone else "near"] += count
 
 
 class SocketTransport(TTransportBase):
-    """Unframed transport over a connected socket."""
+    """Unframed transport over a connected socket.
+
+    Parameters
+    ----------
+    sock : socket
+        The connected socket.
+    meter : ByteMeter
+        Counts the bytes sent and received.
+
+    Attributes
+    ----------
+    total : int
+        Bytes sent and received on this transport.
+    """
 
     def __init__(self, sock, meter: ByteMeter):
         self._sock = sock
         self._meter = meter
         self.total = 0
 
-    def isOpen(self):  # noqa: N802 - the library's name
-        """Tell whether the socket is open."""
+    def isOpen(self):  # noqa: N802 - name required by Thrift
+        """Return whether the socket is open."""
         return self._sock.fileno() >= 0
 
     def close(self):
@@ -50,7 +74,7 @@
         self._sock.close()
 
     def read(self, size):
-        """Read at most `size` bytes; empty at the end."""
+        """Return at most `size` bytes; none at the end of the stream."""
         data = self._sock.recv(size)
         self._meter.received += len(data)
         self.total += len(data)
@@ -63,9 +87,9 @@
         self.total += len(data)
 
     def flush(self):
-        """Do nothing: `write` holds nothing back."""
+        """Do nothing, as `write` does not buffer."""
 
 
 def framed(transport: SocketTransport) -> TFramedTransport:
-    """Wrap a transport so that no frame beyond the limit is read."""
-    return TFramedTransport(transport, MAX_FRAME)
+    """Wrap a transport in frames of at most `MAX_FRAME_BYTES`."""
+    return TFramedTransport(transport, MAX_FRAME_BYTES)
--- a/tests/ctl/test_explain.py
+++ b/tests/ctl/test_explain.py
@@ -1,4 +1,4 @@
-"""Telling a request's life from log lines."""
+"""Test the explanation of a request from log lines."""
 
 import json
 import subprocess
@@ -6,7 +6,7 @@
 
 import pytest
 
-from cairnferry.ctl._explain import explain, read_log, told
+from cairnferry.ctl._explain import explain, format_lines, read_log
 
 ID = "9c41d07b"
 
@@ -45,7 +45,7 @@
 ]
 
 
-def test_a_request_is_told_with_what_its_instance_believed():
+def test_a_request_is_explained_by_state_changes_of_its_instance():
     lines = explain(read_log(TEXTS), ID, before_s=2.0)
     assert [(each.message, each.instance) for each in lines] == [
         ("target silent", "front-1"),
@@ -55,8 +55,8 @@
     assert lines[0].facts["target"] == "t1"
 
 
-def test_a_request_that_is_kept_from_targets_is_told_with_the_ends_that_led_to_it():
-    """The ends were seen by other instances, long before it came here."""
+def test_a_blocked_request_is_explained_by_the_crashes_that_led_to_the_block():
+    """Other instances saw the crashes, long before the request arrived."""
     refused = {
         "request_id": ID,
         "attempts": [],
@@ -66,7 +66,10 @@
         "content": "c0ffee",
         "caller": "cafe",
     }
-    hands = {"c0ffee": "c0ffee of cafe r1 61 ms", "beef": "beef of cafe r2 3 ms"}
+    in_hand_texts = {
+        "c0ffee": "c0ffee of cafe r1 61 ms",
+        "beef": "beef of cafe r2 3 ms",
+    }
     texts = [line(50.0, "request given up", **refused)]
     for second, names in (
         (1.0, ["beef", "c0ffee"]),
@@ -79,7 +82,7 @@
                 "target ended under requests",
                 instance="front-2",
                 target=f"t{second:.0f}",
-                in_hand=[hands[name] for name in names],
+                in_hand=[in_hand_texts[name] for name in names],
             )
         )
     blocked = {"content": "c0ffee", "caller": "cafe", "by": "ends"}
@@ -94,24 +97,24 @@
     ]
 
 
-def test_a_longer_time_before_it_tells_more():
+def test_a_longer_time_before_the_request_includes_more_lines():
     lines = explain(read_log(TEXTS), ID, before_s=60.0)
     assert [each.facts.get("target") for each in lines][:2] == ["t2", "t1"]
 
 
-def test_a_request_that_no_line_is_about_has_no_life():
+def test_a_request_without_log_lines_has_no_explanation():
     assert explain(read_log(TEXTS), "unheard-of", before_s=2.0) == []
 
 
-def test_what_stands_before_the_object_and_other_lines_are_passed_over():
+def test_text_before_the_object_and_unreadable_lines_are_ignored():
     texts = ["  11.44 front-1 " + TEXTS[0], "words", "{", '{"time": "never"}', "", "[]"]
     log = read_log(texts)
     assert len(log.lines) == 1
     assert log.unreadable == 4
 
 
-def test_a_request_that_limits_kept_back_is_told_with_all_limits_of_its_instance():
-    """It was sent nowhere and asked nobody: no line names the targets."""
+def test_a_throttled_request_is_explained_by_all_limits_of_its_instance():
+    """No target was checked or tried, so no line on the request names a target."""
     facts = GIVEN_UP | {"attempts": [], "asked": [], "cause": "target-limit"}
     texts = [
         line(1.0, "limit named", target="t1", per_s=2.6),
@@ -124,7 +127,7 @@
     assert [each.facts.get("target") for each in lines] == ["t1", "t2", None]
 
 
-def test_a_request_is_told_with_the_evacuations_of_its_instance_before_it():
+def test_a_request_is_explained_by_earlier_evacuations_of_its_instance():
     facts = GIVEN_UP | {"attempts": [], "asked": [], "cause": "zones-evacuated"}
     texts = [
         line(1.0, "zone evacuated", evacuated="zone-a", version=7),
@@ -136,7 +139,7 @@
     assert [each.facts.get("evacuated") for each in lines] == ["zone-a", None]
 
 
-def test_a_request_is_told_with_the_limits_of_the_targets_that_it_tried():
+def test_a_request_is_explained_by_the_limits_of_the_targets_that_it_tried():
     texts = [
         line(1.0, "limit named", target="t1", per_s=2.6),
         line(1.1, "limit named", target="t9", per_s=3.0),
@@ -147,7 +150,7 @@
 
 
 def test_lines_of_the_request_are_marked():
-    texts = list(told(explain(read_log(TEXTS), ID, before_s=2.0)))
+    texts = list(format_lines(explain(read_log(TEXTS), ID, before_s=2.0)))
     assert [text[0] for text in texts] == [" ", " ", "*"]
     assert "10:00:09.500  front-1  request given up" in texts[-1]
     assert "attempts=first t1 at 1.0 ms" in texts[-1]
@@ -166,7 +169,7 @@
     assert done.stdout.count("\n") == 3
 
 
-def test_an_unknown_request_and_a_missing_file_are_told_apart(tmp_path):
+def test_an_unknown_request_and_a_missing_file_have_different_errors(tmp_path):
     unknown = run("explain", "unheard-of", text="\n".join(TEXTS))
     assert (unknown.returncode, unknown.stdout) == (3, "")
     assert "no line on unheard-of" in unknown.stderr
@@ -185,8 +188,8 @@
     )
 
 
-def test_a_request_that_rests_kept_back_is_told_with_the_rests_of_its_instance():
-    """It was sent nowhere and asked nobody: no line names the targets."""
+def test_a_request_that_back_off_blocked_is_explained_by_all_back_offs():
+    """No target was checked or tried, so no line on the request names a target."""
     facts = GIVEN_UP | {"attempts": [], "asked": [], "cause": "targets-resting"}
     texts = [
         line(1.0, "target asks for rest", target="t1", for_s=30.0),
--- a/tests/ctl/test_report.py
+++ b/tests/ctl/test_report.py
@@ -1,4 +1,4 @@
-"""A page of charts from log lines."""
+"""Test the page of charts from log lines."""
 
 import xml.etree.ElementTree as ET
 
@@ -21,10 +21,10 @@
 ]
 
 
-def test_lines_are_summed_up_by_steps():
-    shown = _report.timeline(read_log(TEXTS))
-    assert shown.step_s == 1.0
-    assert [dict(step.ended) for step in shown.steps] == [
+def test_log_lines_are_summarised_by_time_step():
+    timeline = _report.build_timeline(read_log(TEXTS))
+    assert timeline.step_s == 1.0
+    assert [dict(step.outcomes) for step in timeline.steps] == [
         {},
         {"answered": 6},
         {"given up": 1},
@@ -32,33 +32,33 @@
         {},
         {},
     ]
-    assert shown.steps[1].times_ms == [100.0, 300.0]
-    assert [step.serving for step in shown.steps] == [2, 2, 2, 2, 2, 1]
-    assert [step.revisions for step in shown.steps] == [(3, 3)] * 3 + [
+    assert timeline.steps[1].durations_ms == [100.0, 300.0]
+    assert [step.serving for step in timeline.steps] == [2, 2, 2, 2, 2, 1]
+    assert [step.revisions for step in timeline.steps] == [(3, 3)] * 3 + [
         (3, 4),
         (3, 4),
         (3, 3),
     ]
 
 
-def test_an_instance_that_starts_anew_has_no_rules_until_it_says_so():
+def test_a_restarted_instance_has_no_rules_until_it_logs_them():
     texts = [
         line(0.0, "in force", revision=9, before=0),
         line(2.0, "serving", callers="10.0.0.1:80"),
         line(4.0, "in force", revision=9, before=0),
     ]
-    shown = _report.timeline(read_log(texts))
-    assert [step.serving for step in shown.steps] == [1, 1, 0, 0, 1]
+    timeline = _report.build_timeline(read_log(texts))
+    assert [step.serving for step in timeline.steps] == [1, 1, 0, 0, 1]
 
 
-def test_a_long_time_has_no_more_steps_than_can_be_told_apart():
+def test_a_long_log_has_a_bounded_number_of_steps():
     texts = [line(0, "serving"), line(59.9, "leaving")]
     texts.append(texts[-1].replace("10:00:59", "15:00:59"))
-    shown = _report.timeline(read_log(texts))
-    assert len(shown.steps) <= _report.MOST_STEPS + 1
+    timeline = _report.build_timeline(read_log(texts))
+    assert len(timeline.steps) <= _report.MAX_STEPS + 1
 
 
-def test_the_page_holds_four_charts(tmp_path):
+def test_the_page_contains_four_charts(tmp_path):
     page = tmp_path / "page.svg"
     done = run("report", str(page), text="\n".join(TEXTS))
     assert (done.returncode, done.stderr) == (0, "")
@@ -67,7 +67,7 @@
     assert len(root.findall(SVG)) == 4
 
 
-def test_what_cannot_be_drawn_or_written_is_told(tmp_path):
+def test_empty_input_and_unwritable_output_are_reported(tmp_path):
     empty = run("report", str(tmp_path / "page.svg"), text="words\n")
     assert empty.returncode == 3
     assert "no log lines" in empty.stderr
--- a/tests/golden/test_sessions.py
+++ b/tests/golden/test_sessions.py
@@ -1,4 +1,4 @@
-"""Golden files of whole sessions; `make golden` renews them."""
+"""Compare whole sessions with golden files; `make golden` updates the files."""
 
 import json
 import re
@@ -11,10 +11,14 @@
 from cairnferry.coordination import LogRow, Member, MemberState, Note, Row, TableUpdate
 from cairnferry.peers import Heartbeat, TableState
 from cairnferry.peers._generated.peer import Peer
-from cairnferry.peers._messages import news_to_wire, row_to_wire, to_wire
+from cairnferry.peers._messages import (
+    heartbeat_to_wire,
+    row_to_wire,
+    table_update_to_wire,
+)
 from cairnferry.standins import route_v2, service_v1, service_v2, target_v1, wait_for
 
-# What differs from run to run, and what stands for it.
+# Patterns of text that differs between runs, and their placeholders.
 VOLATILE = [
     (re.compile(r"\b[0-9a-f]{32}\b"), "<change-id>"),
     (re.compile(r"127\.0\.0\.1:[0-9]+"), "<address>"),
@@ -47,7 +51,7 @@
 
 
 def test_a_session_of_an_operator(system, tmp_path, golden):
-    """Install, check, submit, look, race, cut over, lose an answer, withdraw."""
+    """Check, submit, list, conflict, cut over, lose an answer and withdraw."""
     system.start_platform()
     system.start_daemon("e1", "zone-a")
     system.await_serving()
@@ -66,43 +70,43 @@
     }
     transcript = []
 
-    def tool(*arguments):
-        done = system.tool(*[files.get(word, word) for word in arguments])
+    def run_ctl(*arguments):
+        done = system.run_ctl(*[files.get(word, word) for word in arguments])
         transcript.append(f"$ cairnferry {' '.join(arguments)}\n")
         text = done.stdout + done.stderr
         for name, path in files.items():
             text = text.replace(path, name)
         transcript.append(text + f"[exit {done.returncode}]\n\n")
 
-    tool("check", "first.json")
-    tool("check", "faulty.json")
-    tool("list")
-    tool("submit", "first.json", "--change-id", "first")
-    tool("submit", "first.json", "--change-id", "first")
-    tool("submit", "new.json", "--change-id", "first")
-    tool("submit", "first.json")
-    tool("submit", "lone.json")
-    tool("diff", "new.json", "lone.json")
-    tool("replace", "new.json", "--change-id", "cutover")
-    tool("replace", "stale.json")
-    tool("show", "service/booking")
-    tool("list")
-    tool("change", "show", "cutover")
-    tool("change", "show", "never")
-    tool("status", "--wait", "2")
-    tool("withdraw", "service/booking")
-    tool("withdraw", "route/r", "target/t", "service/booking", "--change-id", "end")
+    run_ctl("check", "first.json")
+    run_ctl("check", "faulty.json")
+    run_ctl("list")
+    run_ctl("submit", "first.json", "--change-id", "first")
+    run_ctl("submit", "first.json", "--change-id", "first")
+    run_ctl("submit", "new.json", "--change-id", "first")
+    run_ctl("submit", "first.json")
+    run_ctl("submit", "lone.json")
+    run_ctl("diff", "new.json", "lone.json")
+    run_ctl("replace", "new.json", "--change-id", "cutover")
+    run_ctl("replace", "stale.json")
+    run_ctl("show", "service/booking")
+    run_ctl("list")
+    run_ctl("change", "show", "cutover")
+    run_ctl("change", "show", "never")
+    run_ctl("status", "--wait", "2")
+    run_ctl("withdraw", "service/booking")
+    run_ctl("withdraw", "route/r", "target/t", "service/booking", "--change-id", "end")
     system.set_faults(outage="reset")
-    tool("submit", "first.json", "--change-id", "later")
-    tool("change", "show", "end")
+    run_ctl("submit", "first.json", "--change-id", "later")
+    run_ctl("change", "show", "end")
     system.set_faults(outage="none")
-    tool("submit", "first.json", "--change-id", "later")
-    tool("list")
+    run_ctl("submit", "first.json", "--change-id", "later")
+    run_ctl("list")
     assert normalised("".join(transcript)) == golden
 
 
 def test_a_session_of_a_caller(start_entry, start_target, records_for, golden):
-    """Whole answers, own errors, refusals, unknown outcomes, byte by byte."""
+    """Compare relayed answers, errors generated here and refusals byte by byte."""
     target = start_target("t", service_ms=0, reports=False)
     route = {"idempotentMethods": ["GET"]}
     entry = start_entry(*records_for(target, route=route), max_body=10)
@@ -138,14 +142,14 @@
 
 
 def test_frames_between_peers(golden):
-    """The bytes of each message: a change here parts releases from each other."""
+    """Compare the bytes of messages; a difference makes releases incompatible."""
     member = Member(
         "e1", "z", "10.0.0.1:1", "10.0.0.1:2", 1764670000000, MemberState.ALIVE
     )
     leaving = Member("e2", "z", "10.0.0.2:1", "10.0.0.2:2", 7, MemberState.LEAVING)
     heartbeat = Heartbeat(member, 9, 1.5, 800, (leaving,), (Note("t", "health", 2.0),))
     calls = {
-        "heartbeat": lambda client: client.send_heartbeat(to_wire(heartbeat)),
+        "heartbeat": lambda client: client.send_heartbeat(heartbeat_to_wire(heartbeat)),
         "pull": lambda client: client.send_pull(10),
         "snapshot": lambda client: client.send_snapshot(),
     }
@@ -167,19 +171,19 @@
 
 
 def test_frames_that_tell_of_tables(golden):
-    """The bytes of what daemons tell each other of tables; see the test before."""
+    """Compare the bytes of messages on tables, as in the previous test."""
     member = Member(
         "e1", "z", "10.0.0.1:1", "10.0.0.1:2", 1764670000000, MemberState.ALIVE
     )
     tables = (TableState("targets", 1234, 1.5),)
     heartbeat = Heartbeat(member, 9, 1.5, 800, (), (), tables)
-    frame = _frame(lambda client: client.send_heartbeat(to_wire(heartbeat)))
+    frame = _frame(lambda client: client.send_heartbeat(heartbeat_to_wire(heartbeat)))
     lines = [f"heartbeat call {frame}\n"]
     frame = _frame(lambda client: client.send_news_since("targets", 1200))
     lines.append(f"news call {frame}\n")
     rows = (Row("i-1", b"{}", 1230), Row("i-2", None, 1234))
     answer = Peer.news_since_result(
-        success=news_to_wire(TableUpdate(False, rows, 1234))
+        success=table_update_to_wire(TableUpdate(False, rows, 1234))
     )
     lines.append(f"news answer {_frame(lambda client: answer.write(client._oprot))}\n")
     assert "".join(lines) == golden
