--- a/packages/standins/src/cairnferry/standins/__init__.py
+++ b/packages/standins/src/cairnferry/standins/__init__.py
@@ -1,11 +1,11 @@
-"""Test-side stand-ins: the platform, targets and callers.
+"""Stand-ins for tests and benchmarks: the platform, targets and callers.
 
-Nothing in the product imports them.
+The product does not import this package.
 """
 
 from cairnferry.standins._load import LoadPlan, LoadReport, Operation, run_load
 from cairnferry.standins._platform import Outage, PlatformStandin
-from cairnferry.standins._ports import free_port, own_host
+from cairnferry.standins._ports import free_port, unique_loopback_host
 from cairnferry.standins._processes import LocalSystem, Process
 from cairnferry.standins._samples import (
     route_v1,
@@ -37,7 +37,7 @@
     "TargetBehaviour",
     "TargetStandin",
     "free_port",
-    "own_host",
+    "unique_loopback_host",
     "parse_scenario",
     "route_v1",
     "route_v2",
--- a/packages/standins/src/cairnferry/standins/_checks.py
+++ b/packages/standins/src/cairnferry/standins/_checks.py
@@ -1,16 +1,17 @@
-"""Checks of scenarios: what targets ran against what callers were told."""
+"""Checks of scenarios: outcomes of callers against requests that targets ran."""
 
 import collections
 import time
 
+# Calls or probes that are allowed in addition, for the time in which daemons start.
 START_ALLOWANCE = 20
-# What a caller may be told, and how often the request may have run then.
-_FEWEST_RUNS = {"ok": 1}
-_MOST_RUNS = {"not-run": 0, "not-sent": 0}
+# Least and greatest number of runs that an outcome allows.
+_MIN_RUNS = {"ok": 1}
+_MAX_RUNS = {"not-run": 0, "not-sent": 0}
 
 
 def count_runs(system) -> collections.Counter:
-    """Count the runs of each request over all targets."""
+    """Return the number of runs of each (method, request ID), over all targets."""
     runs = collections.Counter()
     for name in system.targets:
         for _, method, request_id in system.target_events(name)["ran"]:
@@ -19,28 +20,34 @@
 
 
 def check_honest(run, load, once="POST") -> list[str]:
-    """Compare what callers were told with what ran.
+    """Check the outcomes of callers against the requests that targets ran.
 
-    An "ok" ran, "not-run" ran nowhere, a method named in `once` ran at most once
-    whatever was told, and nobody got another's or a part of an answer.
+    An "ok" request ran, a "not-run" or "not-sent" one did not, and one with a method in
+    `once` ran at most once whatever its outcome. No caller got an incomplete response
+    or the response to another request.
+
+    Returns
+    -------
+    list of str
+        One description per failure, as with all checks.
     """
     runs = count_runs(run.system)
     methods = once.split(",")
-    faults = []
-    for request_id, (method, told) in run.loads[load].report.outcomes.items():
+    failures = []
+    for request_id, (method, outcome) in run.loads[load].report.outcomes.items():
         count = runs[method, request_id]
-        fault = _fault(method, told, count, methods)
-        if fault:
-            faults.append(f"{method} {request_id}: told {told}, {fault}")
-    return faults
-
-
-def _fault(method, told, count, once):
-    if told == "foreign":
-        return "not its own answer"
-    if count < _FEWEST_RUNS.get(told, 0):
-        return "ran nowhere"
-    if count > _MOST_RUNS.get(told, count):
+        failure = _find_failure(method, outcome, count, methods)
+        if failure:
+            failures.append(f"{method} {request_id}: outcome {outcome}, {failure}")
+    return failures
+
+
+def _find_failure(method, outcome, count, once):
+    if outcome == "foreign":
+        return "response is corrupt or of another request"
+    if count < _MIN_RUNS.get(outcome, 0):
+        return "did not run at any target"
+    if count > _MAX_RUNS.get(outcome, count):
         return f"ran {count} times"
     if method in once and count > 1:
         return f"ran {count} times"
@@ -48,79 +55,81 @@
 
 
 def check_all_ok(run, load) -> list[str]:
-    """Check that each request got its answer."""
+    """Check that each request has the outcome "ok"."""
     outcomes = run.loads[load].report.outcomes
     return [
-        f"{method} {request_id}: told {told}"
-        for request_id, (method, told) in outcomes.items()
-        if told != "ok"
+        f"{method} {request_id}: outcome {outcome}"
+        for request_id, (method, outcome) in outcomes.items()
+        if outcome != "ok"
     ]
 
 
-def check_told(run, load, *allowed) -> list[str]:
-    """Check that callers were told nothing but the given outcomes."""
+def check_outcomes(run, load, *allowed) -> list[str]:
+    """Check that only the given outcomes occurred."""
     outcomes = run.loads[load].report.outcomes
     return [
-        f"{method} {request_id}: told {told}"
-        for request_id, (method, told) in outcomes.items()
-        if told not in allowed
+        f"{method} {request_id}: outcome {outcome}"
+        for request_id, (method, outcome) in outcomes.items()
+        if outcome not in allowed
     ]
 
 
-def check_some(run, load, outcome) -> list[str]:
-    """Check that an outcome occurred, so that a scenario tests what it says."""
+def check_occurred(run, load, outcome) -> list[str]:
+    """Check that an outcome occurred, so that the scenario tests what it claims to."""
     count = run.loads[load].report.count(outcome)
-    return [] if count else [f"no caller was told {outcome}"]
+    return [] if count else [f"outcome {outcome} did not occur"]
 
 
 def check_quiet(run, target, mark) -> list[str]:
-    """Check that a target got no new work after a mark."""
+    """Check that a target received no requests after a mark."""
     after = run.marks[mark]
     late = [
         (at - after, request_id)
         for at, _, request_id in run.system.target_events(target)["seen"]
         if at > after
     ]
-    return [f"{request_id} came {seconds:.2f} s after" for seconds, request_id in late]
+    return [
+        f"{request_id} arrived {seconds:.2f} s after the mark"
+        for seconds, request_id in late
+    ]
 
 
 def check_retry_after(run, load) -> list[str]:
-    """Check that whatever was given up said when to come back."""
+    """Check that responses to requests that were given up have Retry-After."""
     count = run.loads[load].report.without_retry_after
-    return [f"{count} answers lack Retry-After"] if count else []
+    return [f"{count} responses lack Retry-After"] if count else []
 
 
 def check_exit_code(run, name, code="0") -> list[str]:
-    """Check the exit code of a process that ended."""
+    """Check the exit code of a process that exited."""
     process = run.system.daemons.get(name) or run.system.targets[name]
     found = process.popen.returncode
     return [] if found == int(code) else [f"{name} exited with {found}"]
 
 
 def check_revision(run, *names) -> list[str]:
-    """Check that the last accepted revision is in force at daemons."""
-    faults = []
+    """Check that the last accepted revision is in effect at daemons."""
+    failures = []
     for name in names or list(run.system.daemons):
         revision = run.system.revision_of(run.system.daemons[name])
         if revision != run.revision:
-            faults.append(f"{name} has revision {revision}, not {run.revision}")
-    return faults
+            failures.append(f"{name} has revision {revision}, not {run.revision}")
+    return failures
 
 
 def check_probe_rate(run, target, most) -> list[str]:
-    """Check the probes a second that a target got since all served."""
+    """Check the probes per second at a target since all daemons were serving."""
     probes = run.system.targets[target].read("http", "/_control")["probes"]
-    return _rate_faults(run, f"probes of {target}", probes, float(most))
+    return _find_rate_failures(run, f"probes of {target}", probes, float(most))
 
 
 def check_platform_rate(run, most) -> list[str]:
-    """Check the calls a second that the platform got since all served."""
+    """Check the calls per second at the platform since all daemons were serving."""
     calls = run.system.platform.read("http", "/_control")["calls"]
-    return _rate_faults(run, "calls of the platform", calls, float(most))
+    return _find_rate_failures(run, "calls of the platform", calls, float(most))
 
 
-def _rate_faults(run, what, count, most):
-    # What came while the daemons started counts too, as a few at the most.
+def _find_rate_failures(run, what, count, most):
     allowed = START_ALLOWANCE + most * (time.monotonic() - run.serving_since)
     return [f"{count} {what}, {allowed:.0f} allowed"] if count > allowed else []
 
@@ -128,8 +137,8 @@
 CHECKS = {
     "honest": check_honest,
     "all-ok": check_all_ok,
-    "told": check_told,
-    "some": check_some,
+    "told": check_outcomes,
+    "some": check_occurred,
     "quiet": check_quiet,
     "retry-after": check_retry_after,
     "exit-code": check_exit_code,
--- a/packages/standins/src/cairnferry/standins/_http.py
+++ b/packages/standins/src/cairnferry/standins/_http.py
@@ -1,4 +1,4 @@
-"""Small HTTP server on plain sockets, so that answers can be broken on purpose."""
+"""Minimal HTTP server on plain sockets, which can send malformed responses."""
 
 import socket
 
@@ -7,21 +7,21 @@
 
 from cairnferry.wire import set_no_delay
 
-MAX_HEAD = 65536
+MAX_LINE_BYTES = 65536
 
 
 @attrs.frozen
 class ReceivedRequest:
-    """A request as it arrived.
+    """A received request.
 
     Attributes
     ----------
     method, path : str
-        Request line.
+        Method and path of the request line.
     headers : dict of str to str
-        By lower-case name.
+        Values by lower-case name.
     body : bytes
-        Whole body.
+        Complete body.
     """
 
     method: str
@@ -31,15 +31,15 @@
 
 
 class SocketServer:
-    """Calls a handler for each request of each connection.
+    """HTTP server that calls a handler for each request.
 
     Parameters
     ----------
     address : tuple of (str, int)
-        Where to listen.
+        Host and port to listen on.
     handler : callable
-        Takes the socket and a `ReceivedRequest`; sends what it likes and tells
-        whether the connection goes on.
+        Called with the socket and a `ReceivedRequest`. It writes the response itself
+        and returns whether the connection stays open.
     """
 
     def __init__(self, address, handler):
@@ -51,26 +51,26 @@
 
     @property
     def port(self) -> int:
-        """Port that it listens on."""
+        """Port that the server listens on."""
         return self._server.server_port
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start to serve."""
         self._server.start()
 
     def abort(self) -> None:
-        """Close the port and all connections at once, as a process that ends."""
+        """Close the port and all connections at once, as when a process crashes."""
         self.stop()
         for sock in list(self._socks):
             sock.shutdown(socket.SHUT_RDWR)
 
-    def start_again(self) -> None:
-        """Listen at the same port after `abort`."""
+    def restart(self) -> None:
+        """Listen on the same port again after `abort`."""
         self._server = StreamServer((self._host, self.port), self._serve)
         self.start()
 
     def stop_accepting(self) -> None:
-        """Take no new connections."""
+        """Accept no new connections."""
         self._server.stop_accepting()
 
     def stop(self) -> None:
@@ -96,14 +96,14 @@
 
 
 def read_request(reader) -> ReceivedRequest | None:
-    """Read one request with Content-Length framing; None at the end."""
-    line = reader.readline(MAX_HEAD)
+    """Read a request with Content-Length framing; return None at the end of input."""
+    line = reader.readline(MAX_LINE_BYTES)
     if not line:
         return None
     method, path, _ = line.decode("latin-1").split(" ", 2)
     headers = {}
     while True:
-        line = reader.readline(MAX_HEAD)
+        line = reader.readline(MAX_LINE_BYTES)
         if line in (b"\r\n", b""):
             break
         name, _, value = line.decode("latin-1").partition(":")
@@ -112,8 +112,8 @@
     return ReceivedRequest(method, path, headers, body)
 
 
-def encode_answer(status: int, headers, body: bytes) -> bytes:
-    """Encode an answer."""
+def encode_response(status: int, headers, body: bytes) -> bytes:
+    """Return a response in bytes, with its Content-Length."""
     lines = [f"HTTP/1.1 {status} Status"]
     lines += [f"{name}: {value}" for name, value in headers]
     lines.append(f"Content-Length: {len(body)}")
--- a/packages/standins/src/cairnferry/standins/_load.py
+++ b/packages/standins/src/cairnferry/standins/_load.py
@@ -1,4 +1,8 @@
-"""Open-loop callers: arrival times are fixed beforehand, so a stall is counted."""
+"""Open-loop load generator.
+
+Arrival times do not depend on responses, and latency counts from the planned arrival.
+A stall therefore shows in the latency of all requests that it delays.
+"""
 
 import collections
 import json
@@ -11,29 +15,30 @@
 from gevent.pool import Group
 from hdrh.histogram import HdrHistogram
 
-from cairnferry.standins._ahead import call_ahead
-from cairnferry.standins._target import ID_HEADER, is_own_answer
+from cairnferry.standins._pipelined import call_pipelined
+from cairnferry.standins._target import ID_HEADER, is_own_response
 from cairnferry.wire import Client, Incomplete, NotSent, Reply, encode_request
 
 STEERING_PATH = "/.well-known/cairnferry/entries"
 STEERING_TIMEOUT_S = 1.0
 OUTCOME_HEADER = "cairnferry-outcome"
-US_PER_S = 1_000_000
+MICROSECONDS_PER_S = 1_000_000
+# Reported quantiles of latencies, in percent.
 QUANTILES = (50, 90, 99, 99.9)
 
 
 @attrs.frozen
 class Operation:
-    """A sort of request.
+    """A kind of request.
 
     Attributes
     ----------
     method, path : str
-        Request line.
+        Method and path of the request line.
     weight : float
-        Share of the requests.
+        Relative share of the requests.
     headers : tuple of (str, str)
-        Further headers.
+        Additional headers.
     """
 
     method: str
@@ -44,32 +49,33 @@
 
 @attrs.frozen
 class LoadPlan:
-    """What callers do.
+    """Parameters of a load run.
 
     Attributes
     ----------
     entries : tuple of str
-        "IP:port" of daemons that are asked for addresses.
+        "IP:port" of the daemons whose steering endpoint is queried for addresses.
     service : str
-        Service that is asked for.
+        Service to request addresses for.
     operations : tuple of Operation
-        Sorts of requests.
+        Kinds of requests.
     rate : float
-        Requests a second.
+        Mean arrivals per second; arrival times are a Poisson process.
     seconds : float
-        Length of the run.
+        Length of the run in seconds.
     timeout_ms : int
         Deadline of each request, in milliseconds.
     zone : str
         Availability zone of the callers.
     seed : int
-        Seed of arrival times and choices.
+        Seed for arrival times and for the choice of operations and addresses.
     prefix : str
-        Prefix of request IDs.
+        Prefix of the request IDs.
     steer : bool
-        Whether to ask for addresses; otherwise `entries` are used in turn.
-    ahead : int
-        GET requests that a caller sends at once on a connection, before any answer.
+        Whether to use the steering endpoint; otherwise each request goes to a random
+        one of `entries`.
+    pipeline_depth : int
+        Number of GET requests that are pipelined on one connection per arrival.
     """
 
     entries: tuple[str, ...]
@@ -82,45 +88,54 @@
     seed: int = 1
     prefix: str = "r"
     steer: bool = True
-    ahead: int = 1
+    pipeline_depth: int = 1
 
 
 @attrs.define
 class LoadReport:
-    """What callers saw.
+    """Outcomes and latencies that the callers observed.
 
     Attributes
     ----------
     outcomes : dict of str to (str, str)
-        Method and outcome by request ID: "ok", "not-run", "unknown", "cut",
-        "foreign" (not whole or another's), or "status-N".
+        Method and outcome by request ID. The outcome is "ok", "not-sent", "cut" (no
+        complete response, by a closed connection or a timeout), "foreign" (a response
+        that is corrupt or belongs to another request), a value of the header
+        Cairnferry-Outcome such as "not-run" or "unknown", or "status-N".
     timeline : list of (float, float, str)
-        Planned arrival from the start, time to the answer (both in seconds) and
-        outcome.
+        Planned arrival since the start of the run, time from there to the response
+        (both in seconds), and outcome.
     histogram : HdrHistogram
-        Microseconds from the planned arrival to the answer, of "ok" requests.
+        Time from the planned arrival to the response of "ok" requests, in
+        microseconds.
     refusal_us : HdrHistogram
-        The same for "not-run".
+        The same for "not-run" requests, in microseconds.
+    without_retry_after : int
+        Responses with the header Cairnferry-Outcome that lack Retry-After.
+    started_at : float
+        Start of the run, as `time.monotonic` in seconds.
+    stop_requested : bool
+        If set, no further requests are sent.
     """
 
     outcomes: dict[str, tuple[str, str]] = attrs.field(factory=dict)
     timeline: list[tuple[float, float, str]] = attrs.field(factory=list)
     histogram: HdrHistogram = attrs.field(
-        factory=lambda: HdrHistogram(1, 600 * US_PER_S, 3)
+        factory=lambda: HdrHistogram(1, 600 * MICROSECONDS_PER_S, 3)
     )
     refusal_us: HdrHistogram = attrs.field(
-        factory=lambda: HdrHistogram(1, 600 * US_PER_S, 3)
+        factory=lambda: HdrHistogram(1, 600 * MICROSECONDS_PER_S, 3)
     )
     without_retry_after: int = 0
-    started: float = 0.0
-    ended: bool = False
+    started_at: float = 0.0
+    stop_requested: bool = False
 
     def count(self, outcome: str) -> int:
-        """Count the requests with an outcome so far."""
-        return sum(told == outcome for _, told in self.outcomes.values())
+        """Return the number of requests that had this outcome so far."""
+        return sum(observed == outcome for _, observed in self.outcomes.values())
 
     def summary(self) -> dict:
-        """Give counts and quantiles, as plain values."""
+        """Return counts and latency quantiles as a dict that can be written as JSON."""
         counts = collections.Counter(o for _, o in self.outcomes.values())
         return {
             "sent": len(self.outcomes),
@@ -139,8 +154,8 @@
     }
 
 
-class _Steering:
-    """A caller's memory of the addresses to use."""
+class _AddressCache:
+    """Addresses of daemons, cached for the time to live of the steering answer."""
 
     def __init__(self, plan, rng):
         self._plan = plan
@@ -148,45 +163,45 @@
         self._clients: dict[str, Client] = {}
         self._addresses = [(address, 1.0) for address in plan.entries]
         self._valid_until = 0.0
-        self._asking = False
+        self._refreshing = False
 
-    def client(self) -> Client:
-        """Choose an address for one request."""
+    def choose_client(self) -> Client:
+        """Return the client of an address chosen at random by weight."""
         if self._plan.steer and time.monotonic() >= self._valid_until:
-            self._ask()
+            self._refresh()
         addresses = [address for address, _ in self._addresses]
         weights = [weight for _, weight in self._addresses]
-        return self._to(self._rng.choices(addresses, weights)[0])
+        return self._client_for(self._rng.choices(addresses, weights)[0])
 
-    def forget(self) -> None:
-        """Ask again before the next request: an address did not answer."""
+    def invalidate(self) -> None:
+        """Refresh the addresses before the next request, as one did not respond."""
         self._valid_until = 0.0
 
-    def _to(self, address):
+    def _client_for(self, address):
         client = self._clients.get(address)
         if client is None:
             host, _, port = address.partition(":")
             client = self._clients[address] = Client(host, int(port))
         return client
 
-    def _ask(self):
-        if self._asking:
+    def _refresh(self):
+        if self._refreshing:
             return
-        self._asking = True
+        self._refreshing = True
         try:
             for address in self._rng.sample(
                 self._plan.entries, len(self._plan.entries)
             ):
-                if self._ask_at(address):
+                if self._refresh_from(address):
                     return
         finally:
-            self._asking = False
+            self._refreshing = False
 
-    def _ask_at(self, address):
+    def _refresh_from(self, address):
         query = urllib.parse.urlencode(
             {"service": self._plan.service, "zone": self._plan.zone}
         )
-        outcome = self._to(address).call(
+        outcome = self._client_for(address).call(
             "GET",
             f"{STEERING_PATH}?{query}",
             timeout=STEERING_TIMEOUT_S,
@@ -203,12 +218,12 @@
 
 
 def parse_operations(text: str) -> tuple[Operation, ...]:
-    """Read operations written as "GET /a 9, POST /b 1".
+    """Parse operations in the form "GET /a 9, POST /b 1".
 
     Raises
     ------
     ValueError
-        If a part is not a method, a path and perhaps a weight.
+        If a part is not a method, a path and an optional weight.
     """
     operations = []
     for part in text.split(","):
@@ -218,34 +233,39 @@
 
 
 def run_load(plan: LoadPlan, report: LoadReport | None = None) -> LoadReport:
-    """Send all requests of a plan and wait for their ends.
+    """Send all requests of a plan and wait until each has its outcome.
 
     Parameters
     ----------
     plan : LoadPlan
-        What to send.
+        Requests to send.
     report : LoadReport, optional
-        Filled while the run goes on; its `ended` stops the sending.
+        Updated during the run; setting its `stop_requested` stops the sending.
+
+    Returns
+    -------
+    LoadReport
+        The report, complete.
     """
     rng = random.Random(plan.seed)
     report = report or LoadReport()
-    steering = _Steering(plan, rng)
+    address_cache = _AddressCache(plan, rng)
     group = Group()
-    start = report.started = time.monotonic()
+    start = report.started_at = time.monotonic()
     arrival = 0.0
     number = 0
     weights = [operation.weight for operation in plan.operations]
-    while not report.ended:
+    while not report.stop_requested:
         arrival += rng.expovariate(plan.rate)
         if arrival >= plan.seconds:
             break
         operation = rng.choices(plan.operations, weights)[0]
         delay = start + arrival - time.monotonic()
         gevent.sleep(max(0.0, delay))
-        count = plan.ahead if operation.method == "GET" else 1
+        count = plan.pipeline_depth if operation.method == "GET" else 1
         ids = [f"{plan.prefix}-{number + index + 1}" for index in range(count)]
         number += count
-        sender = _Sender(plan, report, steering, operation, start + arrival)
+        sender = _Sender(plan, report, address_cache, operation, start + arrival)
         group.start(gevent.Greenlet(sender.send, ids))
     group.join()
     return report
@@ -253,20 +273,20 @@
 
 @attrs.define
 class _Sender:
-    """A caller with one request, or with some that it sends at once."""
+    """Sends the requests of one arrival: a single one, or several pipelined ones."""
 
     plan: LoadPlan
     report: LoadReport
-    steering: _Steering
+    address_cache: _AddressCache
     operation: Operation
-    planned: float
+    planned_at: float
 
     def send(self, ids):
-        """Send the requests with these IDs, and note their ends."""
-        client = self.steering.client()
+        """Send the requests with these IDs and record their outcomes."""
+        client = self.address_cache.choose_client()
         timeout = self.plan.timeout_ms / 1000 + 1
         if len(ids) == 1:
-            self._note(ids[0], self._call(client, ids[0], timeout))
+            self._record(ids[0], self._call(client, ids[0], timeout))
             return
         operation = self.operation
         payloads = [
@@ -279,12 +299,15 @@
             )
             for i in ids
         ]
-        outcomes = call_ahead((client.host, client.port), payloads, timeout)
+        outcomes = call_pipelined((client.host, client.port), payloads, timeout)
         for request_id, outcome in zip(ids, outcomes, strict=True):
             if isinstance(outcome, NotSent):
-                # Behind an answer that closed the connection: to be sent anew.
-                outcome = self._call(self.steering.client(), request_id, timeout)
-            self._note(request_id, outcome)
+                # Not read, as an earlier response closed the connection, or no
+                # connection at all: sent again on a connection of its own.
+                outcome = self._call(
+                    self.address_cache.choose_client(), request_id, timeout
+                )
+            self._record(request_id, outcome)
 
     def _call(self, client, request_id, timeout):
         return client.call(
@@ -306,29 +329,29 @@
     def _body(self, request_id):
         return request_id.encode() if self.operation.method in ("POST", "PUT") else b""
 
-    def _note(self, request_id, outcome):
+    def _record(self, request_id, outcome):
         report = self.report
-        elapsed = time.monotonic() - self.planned
+        elapsed = time.monotonic() - self.planned_at
         body = self._body(request_id)
-        name = _judge(report, outcome, self.operation, body, request_id)
+        name = _classify(report, outcome, self.operation, body, request_id)
         report.outcomes[request_id] = (self.operation.method, name)
-        report.timeline.append((self.planned - report.started, elapsed, name))
+        report.timeline.append((self.planned_at - report.started_at, elapsed, name))
         if name == "ok":
-            report.histogram.record_value(max(1, int(elapsed * US_PER_S)))
+            report.histogram.record_value(max(1, int(elapsed * MICROSECONDS_PER_S)))
         elif name == "not-run":
-            report.refusal_us.record_value(max(1, int(elapsed * US_PER_S)))
+            report.refusal_us.record_value(max(1, int(elapsed * MICROSECONDS_PER_S)))
         elif name == "cut":
-            self.steering.forget()
+            self.address_cache.invalidate()
 
 
-def _judge(report, outcome, operation, body, request_id):
+def _classify(report, outcome, operation, body, request_id):
     match outcome:
         case NotSent():
             return "not-sent"
         case Incomplete():
             return "cut"
         case Reply(status=200) as reply:
-            own = is_own_answer(
+            own = is_own_response(
                 reply.body, operation.method, operation.path, body, request_id
             )
             return "ok" if own or operation.method == "HEAD" else "foreign"
--- a/packages/standins/src/cairnferry/standins/_ahead.py
+++ b/packages/standins/src/cairnferry/standins/_pipelined.py
@@ -1,27 +1,33 @@
-"""Requests that are sent on one connection before any of them was answered."""
+"""HTTP pipelining: several requests on one connection before the first response."""
 
 import time
 
 from cairnferry.wire import ConnectFailed, Failure, Incomplete, NotSent, Reply, connect
 
 
-def call_ahead(
+def call_pipelined(
     address: tuple[str, int], payloads: list[bytes], timeout: float
 ) -> list[Reply | NotSent | Incomplete]:
-    """Send all requests at once; give the answers in the order of the requests.
+    """Send all requests at once; return the outcomes in the order of the requests.
 
     Parameters
     ----------
     address : tuple of (str, int)
-        Where to send them.
+        Host and port to connect to.
     payloads : list of bytes
         Encoded requests, none of them a HEAD.
     timeout : float
-        Seconds for all of them.
+        Time limit for all of them, in seconds.
+
+    Returns
+    -------
+    list of Reply, NotSent or Incomplete
+        One outcome per request.
 
     Notes
     -----
-    What was sent behind an answer that closes the connection was not read.
+    The server does not read requests that follow a response with "Connection: close",
+    so their outcome is `NotSent`.
     """
     conn = connect(address, timeout)
     if isinstance(conn, ConnectFailed):
@@ -44,14 +50,15 @@
         outcomes.append(Incomplete(Failure.CUT_SHORT))
     finally:
         conn.close()
-    # A connection that ends early tells nothing of those behind.
+    # If the connection ends within a response, the later requests may have been read
+    # and run.
     closed = outcomes and isinstance(outcomes[-1], Reply)
     rest = NotSent(Failure.RESET) if closed else Incomplete(Failure.CUT_SHORT)
     return outcomes + [rest] * (len(payloads) - len(outcomes))
 
 
 def _read_reply(file):
-    """Read an answer whose length is told; ValueError or OSError if there is none."""
+    """Read a response with Content-Length; raise ValueError or OSError if broken."""
     line = file.readline()
     if not line:
         raise ConnectionResetError
--- a/packages/standins/src/cairnferry/standins/_platform.py
+++ b/packages/standins/src/cairnferry/standins/_platform.py
@@ -1,4 +1,4 @@
-"""Stand-in for the platform: table, objects and instance list on one port."""
+"""Stand-in for the platform: table, object store and instance list on one port."""
 
 import enum
 import json
@@ -14,13 +14,13 @@
 
 CONTROL_PATH = "/_control"
 INSTANCES_PATH = "/instances"
-TARGET_HEADER = "HTTP_X_AMZ_TARGET"
+OPERATION_HEADER = "HTTP_X_AMZ_TARGET"
 HANG_S = 3600.0
 SOCKET_KEY = "standin.socket"
 
 
 class Outage(enum.StrEnum):
-    """How the platform fails."""
+    """Kind of platform outage."""
 
     NONE = "none"
     RESET = "reset"
@@ -30,18 +30,18 @@
 
 @attrs.define
 class PlatformFaults:
-    """Faults, each switched while it runs.
+    """Faults of the platform; each can be changed at run time.
 
     Attributes
     ----------
     outage : Outage
         Kind of outage.
     delay_ms : float
-        Time added to each answer, in milliseconds.
+        Delay of each response, in milliseconds.
     lose_answers : int
-        So many of the next writes take effect, and their answers are lost.
+        Number of next writes that take effect without a response.
     list_lag_s : float
-        Age of the instance list that is shown, in seconds.
+        Age of the instance list that is served, in seconds.
     """
 
     outage: Outage = attrs.field(default=Outage.NONE, converter=Outage)
@@ -51,33 +51,33 @@
 
 
 class ConnectionCut(Exception):
-    """The stand-in ends the connection without an answer."""
+    """The stand-in closes the connection without a response."""
 
 
 @attrs.define
 class InstanceHistory:
-    """The list as it was at each change, so that an old one can be shown."""
+    """All versions of the instance list, so that an old one can be served."""
 
     _versions: list = attrs.field(factory=lambda: [(0.0, [])])
 
     def write(self, groups: list) -> None:
-        """Replace the list."""
+        """Add a version, which is the current one from now on."""
         self._versions.append((time.monotonic(), groups))
 
     def read(self, lag: float) -> list:
-        """Give the list as it was `lag` seconds ago."""
-        shown_at = time.monotonic() - lag
-        shown = [groups for at, groups in self._versions if at <= shown_at]
-        return shown[-1] if shown else []
+        """Return the list as it was `lag` seconds ago."""
+        visible_at = time.monotonic() - lag
+        visible = [groups for at, groups in self._versions if at <= visible_at]
+        return visible[-1] if visible else []
 
 
 class PlatformStandin:
-    """Serves the platform's interfaces.
+    """Serves the platform's interfaces, and a control interface for faults.
 
     Parameters
     ----------
     address : tuple of (str, int)
-        Where to listen.
+        Host and port to listen on.
     """
 
     def __init__(self, address):
@@ -90,11 +90,11 @@
 
     @property
     def port(self) -> int:
-        """Port that it listens on."""
+        """Port that the server listens on."""
         return self.server.server_port
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start to serve."""
         self.server.start()
 
     def stop(self) -> None:
@@ -107,9 +107,9 @@
         if path == CONTROL_PATH:
             return _respond(start_response, 200, self._control(body))
         self.calls += 1
-        if not self._pass_outage(environ, start_response):
+        if not self._apply_outage(environ, start_response):
             return []
-        if TARGET_HEADER in environ:
+        if OPERATION_HEADER in environ:
             return self._table_call(environ, body, start_response)
         if path == INSTANCES_PATH:
             groups = self.instances.read(self.faults.list_lag_s)
@@ -117,7 +117,7 @@
         return self._object_call(environ["REQUEST_METHOD"], path, body, start_response)
 
     def _control(self, body):
-        """Switch faults, write the list, or report counts."""
+        """Change faults, table rows or the instance list; return the counters."""
         document = json.loads(body) if body else {}
         for name, value in document.get("faults", {}).items():
             converted = Outage(value) if name == "outage" else value
@@ -133,12 +133,12 @@
             "faults": attrs.asdict(self.faults),
         }
 
-    def _pass_outage(self, environ, start_response):
+    def _apply_outage(self, environ, start_response):
         if self.faults.delay_ms:
             gevent.sleep(self.faults.delay_ms / 1000)
         match self.faults.outage:
             case Outage.RESET:
-                _cut(environ)
+                _reset_connection(environ)
             case Outage.HANG:
                 gevent.sleep(HANG_S)
             case Outage.ERROR:
@@ -147,14 +147,14 @@
         return True
 
     def _table_call(self, environ, body, start_response):
-        operation = environ[TARGET_HEADER].rpartition(".")[2]
+        operation = environ[OPERATION_HEADER].rpartition(".")[2]
         try:
             answer = self.table.handle(operation, json.loads(body))
         except Refused as exc:
             return _respond(start_response, 400, exc.document())
         if operation == "TransactWriteItems" and self.faults.lose_answers > 0:
             self.faults.lose_answers -= 1
-            _cut(environ)
+            _reset_connection(environ)
         return _respond(start_response, 200, answer)
 
     def _object_call(self, method, path, body, start_response):
@@ -169,7 +169,7 @@
 
 
 class _Handler(WSGIHandler):
-    """Handler that gives the application its socket."""
+    """Handler that passes its socket to the application."""
 
     def get_environ(self):
         return {**super().get_environ(), SOCKET_KEY: self.socket}
@@ -183,7 +183,7 @@
         super().handle(sock, address)
 
 
-def _cut(environ):
+def _reset_connection(environ):
     environ[SOCKET_KEY].shutdown(SHUT_RDWR)
     raise ConnectionCut
 
--- a/packages/standins/src/cairnferry/standins/_ports.py
+++ b/packages/standins/src/cairnferry/standins/_ports.py
@@ -1,27 +1,28 @@
-"""Ports of loopback for the processes of one test run."""
+"""Loopback ports and addresses for the processes of one test run."""
 
 import itertools
 import os
 import socket
 
 HOST = "127.0.0.1"
-# Below the range from which the system takes ports for connections.
+# Below the ephemeral ports, which the system assigns to connections.
 FIRST_PORT = 12000
 LAST_PORT = 30000
-# Subnets of loopback from which a process takes addresses of its own, by its ID.
+# Loopback subnets from which a process takes its own addresses, by process ID.
 FIRST_SUBNET = 32
 SUBNETS = 200
 PIDS_IN_SUBNET = 250
-# "INDEX/COUNT" of this process among those that share the machine's ports.
+# Environment variable with "INDEX/COUNT" of this process among the processes of one
+# test run, which divide the ports between them.
 PART_VARIABLE = "CAIRNFERRY_TEST_PART"
 
 
-def _own_ports(part: str) -> range:
-    """Give the ports that no other process of a test run takes.
+def _ports_of_part(part: str) -> range:
+    """Return the ports that only this process of a test run uses.
 
-    Between the moment at which a port is found free and that at which a process
-    listens there, another one could take it: it shows as a process that ends at
-    once, now and then.
+    With a common range, another process could bind a port after it was found free and
+    before the process that it is meant for listens there. That process would then
+    exit at its start, in rare cases.
     """
     index, count = (int(number) for number in part.split("/"))
     each = (LAST_PORT - FIRST_PORT) // count
@@ -29,12 +30,12 @@
 
 
 def free_port() -> int:
-    """Give a TCP port that nothing listens on.
+    """Return a TCP port on which nothing listens.
 
-    It lies below the range from which the system takes ports for connections
-    and for listeners without a port of their own. One from that range could be
-    taken again before the process that is to listen there has started; it shows
-    as a process that ends at once, now and then.
+    The port is below the ephemeral range, from which the system assigns ports to
+    connections and to listeners without a fixed port. A port from that range could be
+    assigned again before the process that is meant to listen there has started, which
+    would exit at its start, in rare cases.
     """
     while True:
         port = next(_ports)
@@ -46,20 +47,25 @@
             return port
 
 
-def own_host(number: int) -> str:
-    """Give a loopback address that no other process of the machine uses.
+def unique_loopback_host(number: int) -> str:
+    """Return a loopback address that no other process of the machine uses.
 
-    For programs that listen at a port which cannot be chosen: two runs of the tests on
-    one machine would else take it from each other, which shows as a program that ends
-    at once ("Address already in use").
+    For programs that listen on a fixed port. On a common address, two concurrent test
+    runs on one machine would conflict, and the program would exit at its start
+    ("Address already in use").
 
     Parameters
     ----------
     number : int
-        Which one of this process, 1 to 250.
+        Number of the address within this process, 1 to 250.
+
+    Returns
+    -------
+    str
+        Address in 127.0.0.0/8.
     """
     high, low = divmod(os.getpid(), PIDS_IN_SUBNET)
     return f"127.{FIRST_SUBNET + high % SUBNETS}.{low}.{number}"
 
 
-_ports = itertools.cycle(_own_ports(os.environ.get(PART_VARIABLE, "0/1")))
+_ports = itertools.cycle(_ports_of_part(os.environ.get(PART_VARIABLE, "0/1")))
--- a/packages/standins/src/cairnferry/standins/_processes.py
+++ b/packages/standins/src/cairnferry/standins/_processes.py
@@ -1,4 +1,4 @@
-"""A whole system of separate processes on loopback, for demo, tests and bench."""
+"""Complete local system of separate processes, for the demo, tests and benchmarks."""
 
 import json
 import pathlib
@@ -21,7 +21,7 @@
 
 @attrs.define(eq=False)
 class Process:
-    """One started process.
+    """A process that was started here.
 
     Attributes
     ----------
@@ -30,9 +30,9 @@
     zone : str
         Availability zone.
     addresses : dict of str to str
-        "IP:port" by purpose.
+        "IP:port" by purpose, such as "callers", "operators" or "http".
     popen : subprocess.Popen
-        The process.
+        Handle of the process.
     """
 
     name: str
@@ -42,7 +42,24 @@
     _clients: dict[str, Client] = attrs.field(factory=dict)
 
     def call(self, purpose, method, path, document=None, headers=()):
-        """Call one of its listeners; give the outcome of the exchange."""
+        """Send a request to one of the listeners and return its outcome.
+
+        Parameters
+        ----------
+        purpose : str
+            Key of `addresses`.
+        method, path : str
+            Method and path of the request line.
+        document : dict, optional
+            Sent as JSON.
+        headers : sequence of (str, str), optional
+            Additional headers.
+
+        Returns
+        -------
+        Reply, NotSent or Incomplete
+            Outcome of the exchange.
+        """
         client = self._clients.get(purpose)
         if client is None:
             host, _, port = self.addresses[purpose].partition(":")
@@ -53,7 +70,10 @@
         )
 
     def read(self, purpose, path, document=None) -> dict | None:
-        """Call a listener that speaks JSON; None if it gave no good answer."""
+        """Send a GET, or a POST with a document, and return the JSON of the response.
+
+        Returns None if there is no response, or its status is 300 or more.
+        """
         method = "GET" if document is None else "POST"
         outcome = self.call(purpose, method, path, document)
         if not isinstance(outcome, Reply) or outcome.status >= 300:
@@ -61,26 +81,41 @@
         return json.loads(outcome.body)
 
     def signal(self, number: int) -> None:
-        """Send a signal."""
+        """Send a signal to the process."""
         self.popen.send_signal(number)
 
     @property
     def alive(self) -> bool:
-        """Whether it runs."""
+        """Whether the process is running."""
         return self.popen.poll() is None
 
 
 @attrs.define
 class LocalSystem:
-    """Starts processes, and ends them all.
+    """Starts the processes of a system, and kills all of them at the end.
+
+    Use it as a context manager.
 
     Parameters
     ----------
     folder : pathlib.Path
-        For settings, keys and logs.
+        Folder for settings, keys, journals and logs.
     relayed : bool, optional
-        Whether daemons reach the platform and each other through relays of this
+        Whether daemons reach the platform and each other through relays in this
         process, so that connections can be cut.
+
+    Attributes
+    ----------
+    platform : Process or None
+        The platform's stand-in.
+    targets, daemons : dict of str to Process
+        Targets and daemons by name.
+    leaving : set of str
+        Instances that `publish_instances` lists as leaving.
+    platform_relays, peer_relays : dict of str to Relay
+        Relays by the daemon's name: to the platform, and from peers to the daemon.
+    peer_key : str
+        Hexadecimal key that all daemons share.
     """
 
     folder: pathlib.Path
@@ -92,52 +127,67 @@
     platform_relays: dict[str, Relay] = attrs.field(factory=dict)
     peer_relays: dict[str, Relay] = attrs.field(factory=dict)
     peer_key: str = attrs.field(default="", repr=False)
-    _all: list[Process] = attrs.field(factory=list)
+    _processes: list[Process] = attrs.field(factory=list)
 
     def __enter__(self):
         self.peer_key = secrets.token_hex(32)
         return self
 
     def __exit__(self, *exc_info):
-        self.end()
+        self.kill_all()
 
     # -- starting ---------------------------------------------------------------
 
     def start_platform(self) -> Process:
-        """Start the platform's stand-in."""
+        """Start the stand-in of the platform."""
         address = f"{HOST}:{free_port()}"
         arguments = ["platform", "--set", f"platform.listen={address}"]
         popen = self._popen("platform", "cairnferry.standins.command", arguments)
-        self.platform = self._note(Process("platform", "-", {"http": address}, popen))
+        self.platform = self._register(
+            Process("platform", "-", {"http": address}, popen)
+        )
         return self.platform
 
     def start_target(self, name, zone, **settings) -> Process:
-        """Start a target; `settings` are keys of its section."""
+        """Start a target; `settings` are keys of the section "target"."""
         address = f"{HOST}:{free_port()}"
         settings = {"listen": address, "name": name} | settings
-        settings["journal"] = self.journal_of(name)
+        settings["journal"] = self.journal_path(name)
         arguments = ["target"]
         for key, value in settings.items():
             arguments += ["--set", f"target.{key}={value}"]
-        self.journal_of(name).touch()
+        self.journal_path(name).touch()
         popen = self._popen(name, "cairnferry.standins.command", arguments)
-        process = self._note(Process(name, zone, {"http": address}, popen))
+        process = self._register(Process(name, zone, {"http": address}, popen))
         self.targets[name] = process
         return process
 
-    def journal_of(self, name) -> pathlib.Path:
-        """Give the file for the requests that a target saw."""
+    def journal_path(self, name) -> pathlib.Path:
+        """Return the file in which a target records its requests."""
         return self.folder / f"{name}.journal"
 
     def start_daemon(self, name, zone, **settings) -> Process:
-        """Start a daemon; `settings` are "section.key" with "." as "__"."""
-        known = self.daemons.get(name)
-        addresses = known.addresses if known else self._new_addresses(name)
+        """Start a daemon.
+
+        A daemon of the same name that was started before passes its addresses on to
+        this one.
+
+        Parameters
+        ----------
+        name : str
+            Name of the instance.
+        zone : str
+            Availability zone.
+        **settings
+            Settings as SECTION__KEY=value.
+        """
+        previous = self.daemons.get(name)
+        addresses = previous.addresses if previous else self._new_addresses(name)
         self.write_key(name, self.peer_key)
         path = self.folder / f"{name}.ini"
         path.write_text(self._settings_text(name, zone, addresses, settings))
         popen = self._popen(name, "cairnferry.entry.command", ["--config", str(path)])
-        process = self._note(Process(name, zone, addresses, popen))
+        process = self._register(Process(name, zone, addresses, popen))
         self.daemons[name] = process
         return process
 
@@ -155,7 +205,7 @@
         return addresses
 
     def write_key(self, name: str, key: str) -> None:
-        """Write the peers' key of one daemon, which reads it again by itself."""
+        """Write the key file of one daemon, which reloads the file when it changes."""
         (self.folder / f"{name}.keys").write_text(key + "\n")
 
     def _settings_text(self, name, zone, addresses, settings):
@@ -186,7 +236,15 @@
         return "\n".join(lines) + "\n"
 
     def start_load(self, outcomes: pathlib.Path, **settings) -> subprocess.Popen:
-        """Start callers; their summary comes on standard output."""
+        """Start callers; the process prints a summary on standard output.
+
+        Parameters
+        ----------
+        outcomes : pathlib.Path
+            File for the outcome of each request.
+        **settings
+            Keys of the section "load".
+        """
         arguments = ["load", "--set", f"load.outcomes={outcomes}"]
         for key, value in settings.items():
             arguments += ["--set", f"load.{key}={value}"]
@@ -195,46 +253,46 @@
             stdout=subprocess.PIPE,
             text=True,
         )
-        self._all.append(Process("load", "-", {}, popen))
+        self._processes.append(Process("load", "-", {}, popen))
         return popen
 
     def _popen(self, name, module, arguments):
-        log = open(self.folder / f"{name}.log", "ab")  # noqa: SIM115 - kept open
+        log = open(self.folder / f"{name}.log", "ab")  # noqa: SIM115 - closed below
         with log:
             return subprocess.Popen(
                 [sys.executable, "-m", module, *arguments], stdout=log, stderr=log
             )
 
-    def _note(self, process):
-        self._all.append(process)
+    def _register(self, process):
+        self._processes.append(process)
         return process
 
-    # -- waiting and looking ----------------------------------------------------
+    # -- waiting and reading ----------------------------------------------------
 
     def await_serving(self) -> None:
-        """Wait until every process answers."""
+        """Wait until the platform, all targets and all daemons respond."""
         for process in [self.platform, *self.targets.values()]:
             wait_for(lambda p=process: p.read("http", "/_control") is not None)
         for process in self.daemons.values():
             wait_for(lambda p=process: p.read("operators", "/v1/status") is not None)
 
     def await_revision(self, revision: int, daemons=None) -> None:
-        """Wait until a revision is in force at each daemon."""
+        """Wait until a revision, or a later one, is in effect at each daemon."""
         for process in daemons or self.daemons.values():
             wait_for(lambda p=process: self.revision_of(p) >= revision)
 
     def revision_of(self, daemon: Process) -> int:
-        """Give the revision in force at a daemon; -1 if it does not answer."""
+        """Return the revision in effect at a daemon; -1 if it does not respond."""
         document = daemon.read("operators", "/v1/status")
         return -1 if document is None else document["revision"]
 
     def await_members(self, count: int, daemons=None) -> None:
-        """Wait until each daemon knows that many live ones, itself included."""
+        """Wait until each daemon lists `count` live members, itself included."""
         for process in daemons or self.daemons.values():
             wait_for(lambda p=process: self.live_members(p) == count)
 
     def live_members(self, daemon: Process) -> int:
-        """Count the live daemons that one knows."""
+        """Return the number of live members that a daemon lists."""
         document = daemon.read("operators", "/v1/status")
         members = document["members"] if document else []
         return sum(member["state"] == "alive" for member in members)
@@ -242,7 +300,7 @@
     # -- acting -----------------------------------------------------------------
 
     def publish_instances(self) -> None:
-        """Write the platform's list of instances."""
+        """Write all daemons and targets to the platform's list of instances."""
         groups = []
         purpose = "advertised" if self.relayed else "peers"
         roles = [("entry", purpose, self.daemons), ("target", "http", self.targets)]
@@ -260,15 +318,15 @@
         self.platform.read("http", "/_control", {"instances": groups})
 
     def set_faults(self, **faults) -> None:
-        """Switch faults of the platform."""
+        """Change faults of the platform; the keys are those of `PlatformFaults`."""
         self.platform.read("http", "/_control", {"faults": faults})
 
     def set_target(self, name: str, **behaviour) -> None:
-        """Change the behaviour of a target."""
+        """Change the behaviour of a target; the keys are those of `TargetBehaviour`."""
         self.targets[name].read("http", "/_control", behaviour)
 
-    def tool(self, *arguments, daemon=None) -> subprocess.CompletedProcess:
-        """Run the operators' tool against a daemon."""
+    def run_ctl(self, *arguments, daemon=None) -> subprocess.CompletedProcess:
+        """Run the operators' command-line tool, by default at the first daemon."""
         server = (daemon or next(iter(self.daemons.values()))).addresses["operators"]
         return subprocess.run(
             [
@@ -285,18 +343,21 @@
         )
 
     def target_events(self, name: str) -> dict[str, list[tuple[float, str, str]]]:
-        """Give what a target saw and ran, also after its end."""
-        return read_journal(self.journal_of(name))
+        """Return the requests that a target received and ran, as by `read_journal`.
+
+        The target may have exited.
+        """
+        return read_journal(self.journal_path(name))
 
     # -- ending -----------------------------------------------------------------
 
-    def end(self) -> None:
-        """End every process that was started."""
-        for process in self._all:
+    def kill_all(self) -> None:
+        """Kill every process that was started, and stop the relays."""
+        for process in self._processes:
             if process.alive:
                 process.signal(signal.SIGCONT)
                 process.popen.kill()
-        for process in self._all:
+        for process in self._processes:
             process.popen.wait()
         for relay in [*self.platform_relays.values(), *self.peer_relays.values()]:
             relay.stop()
--- a/packages/standins/src/cairnferry/standins/_relay.py
+++ b/packages/standins/src/cairnferry/standins/_relay.py
@@ -1,4 +1,4 @@
-"""TCP relay whose connections can be cut and held, for failures of the network."""
+"""TCP relay that simulates network failures: it can cut and stall connections."""
 
 import gevent
 from gevent import socket
@@ -7,16 +7,16 @@
 
 from cairnferry.wire import set_no_delay
 
-CHUNK = 65536
+CHUNK_BYTES = 65536
 
 
 class Relay:
-    """Passes connections on to one address.
+    """Forwards connections to one address.
 
     Parameters
     ----------
     target : tuple of (str, int)
-        Where connections go.
+        Host and port that connections are forwarded to.
     """
 
     def __init__(self, target):
@@ -24,36 +24,36 @@
         self._server = StreamServer(("127.0.0.1", 0), self._serve)
         self._server.start()
         self._socks = set()
-        self._open = Event()
-        self._open.set()
+        self._forwarding = Event()
+        self._forwarding.set()
         self.is_cut = False
 
     @property
     def address(self) -> str:
-        """Address "IP:port" that it listens on."""
+        """Address "IP:port" that the relay listens on."""
         return f"127.0.0.1:{self._server.server_port}"
 
     def cut(self) -> None:
-        """End all connections, and each new one at once."""
+        """Close all connections, and each new one as soon as it is accepted."""
         self.is_cut = True
         self.drop()
 
     def heal(self) -> None:
-        """Pass connections on again, and what was held."""
+        """Accept connections again, and forward the data that was held."""
         self.is_cut = False
-        self._open.set()
+        self._forwarding.set()
 
     def hold(self) -> None:
-        """Take what comes but pass nothing on, as a network that loses packets."""
-        self._open.clear()
+        """Accept connections and data but forward nothing, as if packets were lost."""
+        self._forwarding.clear()
 
     def drop(self) -> None:
-        """End all connections."""
+        """Close all open connections."""
         for sock in list(self._socks):
             sock.close()
 
     def stop(self) -> None:
-        """Stop relaying."""
+        """Close the listener and all connections."""
         self._server.stop(timeout=0)
         self.drop()
 
@@ -61,26 +61,26 @@
         if self.is_cut:
             return
         try:
-            out = socket.create_connection(self._target)
+            upstream = socket.create_connection(self._target)
         except OSError:
             return
-        both = {sock, out}
-        self._socks |= both
-        for one in both:
-            set_no_delay(one)
+        pair = {sock, upstream}
+        self._socks |= pair
+        for member in pair:
+            set_no_delay(member)
         tasks = [
-            gevent.spawn(self._pump, sock, out),
-            gevent.spawn(self._pump, out, sock),
+            gevent.spawn(self._pump, sock, upstream),
+            gevent.spawn(self._pump, upstream, sock),
         ]
         gevent.joinall(tasks, count=1)
         gevent.killall(tasks)
-        self._socks -= both
-        out.close()
+        self._socks -= pair
+        upstream.close()
 
     def _pump(self, source, sink):
         try:
-            while data := source.recv(CHUNK):
-                self._open.wait()
+            while data := source.recv(CHUNK_BYTES):
+                self._forwarding.wait()
                 sink.sendall(data)
         except OSError:
             return
--- a/packages/standins/src/cairnferry/standins/_samples.py
+++ b/packages/standins/src/cairnferry/standins/_samples.py
@@ -6,13 +6,13 @@
 
 
 def service_v1(name, timeout_s=1.0, **fields) -> dict:
-    """Make a service in schema version 1."""
+    """Return the record of a service in schema version 1."""
     document = {"schema": 1, "kind": "service", "name": name, "timeout_s": timeout_s}
     return document | fields
 
 
 def service_v2(name, deadline_ms=1000, **spec) -> dict:
-    """Make a service in schema version 2."""
+    """Return the record of a service in schema version 2."""
     return {
         "schema": 2,
         "kind": "service",
@@ -22,7 +22,7 @@
 
 
 def target_v1(name, service, zone, address, slots=6, **fields) -> dict:
-    """Make a target in schema version 1, with a refusal contract."""
+    """Return the record of a target in schema version 1, with a refusal contract."""
     document = {
         "schema": 1,
         "kind": "target",
@@ -38,7 +38,7 @@
 
 
 def target_v2(name, service, zone, address, slots=4, **spec) -> dict:
-    """Make a target in schema version 2, with a refusal contract."""
+    """Return the record of a target in schema version 2, with a refusal contract."""
     host, _, port = address.partition(":")
     return {
         "schema": 2,
@@ -56,7 +56,7 @@
 
 
 def route_v1(name, path, service, **fields) -> dict:
-    """Make a route in schema version 1."""
+    """Return the record of a route in schema version 1."""
     document = {
         "schema": 1,
         "kind": "route",
@@ -68,7 +68,7 @@
 
 
 def route_v2(name, path, service, **spec) -> dict:
-    """Make a route in schema version 2."""
+    """Return the record of a route in schema version 2."""
     return {
         "schema": 2,
         "kind": "route",
--- a/packages/standins/src/cairnferry/standins/_scenario.py
+++ b/packages/standins/src/cairnferry/standins/_scenario.py
@@ -1,4 +1,4 @@
-"""Runs scenario files."""
+"""Runner of scenario files."""
 
 import pathlib
 import time
@@ -13,27 +13,27 @@
 from cairnferry.standins._scenario_language import Scenario, parse_scenario
 from cairnferry.standins._steps_callers import BackgroundLoad
 
-MOST_FAULTS_SHOWN = 5
+MAX_FAILURES_SHOWN = 5
 
 
 @attrs.define
 class ScenarioRun:
-    """What the steps of one scenario share.
+    """State shared by the steps of one scenario.
 
     Attributes
     ----------
     system : LocalSystem
-        The processes.
+        Processes of the scenario.
     loads : dict of str to BackgroundLoad
         Callers by name.
     marks : dict of str to float
-        Remembered moments.
+        Times recorded by the step `mark`, as `time.monotonic` in seconds.
     revision : int
         Last accepted revision.
     daemon_settings : dict of str to dict
-        Settings that daemons were started with.
+        Settings that each daemon was started with, by its name.
     serving_since : float
-        Moment from which all daemons served.
+        Time since which all daemons are serving, as `time.monotonic` in seconds.
     """
 
     system: LocalSystem
@@ -44,51 +44,51 @@
     serving_since: float = 0.0
 
     def run(self, scenario: Scenario) -> None:
-        """Carry out all steps.
+        """Run all steps.
 
         Raises
         ------
         ScenarioFault
-            At the first step that fails, with its line.
+            If a step fails; the message has its line. Later steps are not run.
         """
         for step in scenario.steps:
             action = _STEPS.get(step.verb)
             if action is None:
-                raise ScenarioFault(f"line {step.line}: no verb {step.verb!r}")
+                raise ScenarioFault(f"line {step.line}: unknown step {step.verb!r}")
             try:
-                action(self, *step.words, **step.settings)
+                action(self, *step.arguments, **step.settings)
             except Exception as exc:
-                text = " ".join([step.verb, *step.words])
+                text = " ".join([step.verb, *step.arguments])
                 raise ScenarioFault(f"line {step.line}: {text}: {exc!r}") from exc
 
     def process(self, name: str) -> Process:
-        """Give a process by its name."""
+        """Return the process with this name: the platform, a target or a daemon."""
         if name == "platform":
             return self.system.platform
         return self.system.targets.get(name) or self.system.daemons[name]
 
-    def daemon_named(self, name: str | None) -> Process:
-        """Give a daemon; the first one that lives without a name."""
+    def find_daemon(self, name: str | None) -> Process:
+        """Return a daemon by name; without a name, the first one that is running."""
         if name is not None:
             return self.system.daemons[name]
         return next(d for d in self.system.daemons.values() if d.alive)
 
-    def chosen(self, names) -> list[Process]:
-        """Give the daemons named; all that live without names."""
+    def select_daemons(self, names) -> list[Process]:
+        """Return daemons by name; without names, all that are running."""
         if names:
             return [self.system.daemons[name] for name in names]
         return [d for d in self.system.daemons.values() if d.alive]
 
-    def mark_start(self) -> None:
-        """Remember that all daemons serve."""
+    def mark_serving(self) -> None:
+        """Record that all daemons are serving from now on."""
         self.serving_since = time.monotonic()
 
 
 def check(run, name, *words, **settings):
-    """Apply a check and fail with the first of its faults."""
-    faults = CHECKS[name](run, *words, **settings)
-    if faults:
-        raise ScenarioFault("; ".join(faults[:MOST_FAULTS_SHOWN]))
+    """Run a check; raise `ScenarioFault` with its first failures, if any."""
+    failures = CHECKS[name](run, *words, **settings)
+    if failures:
+        raise ScenarioFault("; ".join(failures[:MAX_FAILURES_SHOWN]))
 
 
 _STEPS = {
@@ -100,7 +100,20 @@
 
 
 def run_file(path: pathlib.Path, folder: pathlib.Path) -> None:
-    """Carry out one scenario file in a folder of its own."""
+    """Run one scenario file.
+
+    Parameters
+    ----------
+    path : pathlib.Path
+        The scenario file.
+    folder : pathlib.Path
+        Empty folder for settings, keys and logs of the processes.
+
+    Raises
+    ------
+    ScenarioFault
+        If a step fails.
+    """
     scenario = parse_scenario(path.read_text(encoding="utf-8"))
     with LocalSystem(folder, relayed=True) as system:
         run = ScenarioRun(system)
--- a/packages/standins/src/cairnferry/standins/_scenario_fault.py
+++ b/packages/standins/src/cairnferry/standins/_scenario_fault.py
@@ -1,4 +1,4 @@
-"""Failure of a scenario."""
+"""Exception for a failed scenario."""
 
 
 class ScenarioFault(AssertionError):
--- a/packages/standins/src/cairnferry/standins/_scenario_language.py
+++ b/packages/standins/src/cairnferry/standins/_scenario_language.py
@@ -1,4 +1,4 @@
-"""Scenario files: the grammar and what it gives."""
+"""Parser of scenario files."""
 
 import importlib.resources
 
@@ -8,36 +8,36 @@
 
 @attrs.frozen
 class Step:
-    """One line.
+    """One step, as written on one line of a scenario file.
 
     Attributes
     ----------
     verb : str
-        What to do.
-    words : tuple of str
-        Its arguments.
+        Name of the step.
+    arguments : tuple of str
+        Positional arguments.
     settings : dict of str to str
-        Its key=value arguments.
+        Arguments in the form key=value.
     line : int
-        Line number.
+        Line number in the file.
     """
 
     verb: str
-    words: tuple[str, ...]
+    arguments: tuple[str, ...]
     settings: dict[str, str]
     line: int
 
 
 @attrs.frozen
 class Scenario:
-    """A parsed file.
+    """A parsed scenario file.
 
     Attributes
     ----------
     title, symptom, events, cause : str
-        Its head.
+        Texts of the head.
     steps : tuple of Step
-        Its steps.
+        Steps in the order of the file.
     """
 
     title: str
@@ -56,9 +56,9 @@
 
     def step(self, items):
         verb = items[0]
-        words = tuple(_unquoted(i) for i in items[1:] if not isinstance(i, tuple))
+        arguments = tuple(_unquoted(i) for i in items[1:] if not isinstance(i, tuple))
         settings = dict(item for item in items[1:] if isinstance(item, tuple))
-        return Step(str(verb), words, settings, verb.line)
+        return Step(str(verb), arguments, settings, verb.line)
 
     def start(self, items):
         return Scenario(*items[0], tuple(items[1:]))
@@ -74,7 +74,7 @@
     Raises
     ------
     lark.exceptions.UnexpectedInput
-        If it does not follow the grammar; the error shows where.
+        If the text does not follow the grammar; the error has line and column.
     """
     grammar = importlib.resources.files(__package__).joinpath("_scenario.lark")
     parser = lark.Lark(grammar.read_text(), parser="lalr", lexer="contextual")
--- a/packages/standins/src/cairnferry/standins/_steps_callers.py
+++ b/packages/standins/src/cairnferry/standins/_steps_callers.py
@@ -1,4 +1,4 @@
-"""Steps of callers, and waiting for events."""
+"""Scenario steps that control callers or wait for events."""
 
 import time
 
@@ -8,28 +8,29 @@
 from cairnferry.standins._load import LoadPlan, LoadReport, parse_operations, run_load
 from cairnferry.standins._waiting import wait_for
 
+# Requests per second.
 DEFAULT_RATE = 60.0
 FOREVER_S = 3600.0
 
 
 @attrs.define
 class BackgroundLoad:
-    """Callers that run until they are told to end.
+    """Callers that send until the step `end`.
 
     Attributes
     ----------
     report : LoadReport
-        What they saw so far.
+        Outcomes so far.
     task : gevent.Greenlet
-        The task that sends.
+        Greenlet that sends the requests.
     """
 
     report: LoadReport
     task: gevent.Greenlet
 
 
-def load(run, name, service, rate=DEFAULT_RATE, operations="", **settings):
-    """Start callers."""
+def start_load(run, name, service, rate=DEFAULT_RATE, operations="", **settings):
+    """Start callers in the background, at all running daemons."""
     entries = tuple(
         d.addresses["callers"] for d in run.system.daemons.values() if d.alive
     )
@@ -48,19 +49,19 @@
     run.loads[name] = BackgroundLoad(report, gevent.spawn(run_load, plan, report))
 
 
-def end(run, name):
-    """Send no more and wait for what is under way."""
-    run.loads[name].report.ended = True
+def stop_load(run, name):
+    """Stop callers and wait for their requests in flight."""
+    run.loads[name].report.stop_requested = True
     run.loads[name].task.get()
 
 
-def mark(run, name):
-    """Remember this moment."""
+def mark_time(run, name):
+    """Record the current time under a name."""
     run.marks[name] = time.monotonic()
 
 
 def await_event(run, subject, *words):
-    """Wait for an event."""
+    """Wait for outcomes of callers, or for an event of `_AWAITS`."""
     if subject in run.loads:
         await_outcomes(run, subject, *words)
     else:
@@ -68,29 +69,29 @@
 
 
 def await_outcomes(run, name, outcome, count):
-    """Wait until callers have had so many more of an outcome."""
+    """Wait until callers observed an outcome `count` more times."""
     report = run.loads[name].report
-    wanted = report.count(outcome) + int(count)
-    wait_for(lambda: report.count(outcome) >= wanted)
+    expected = report.count(outcome) + int(count)
+    wait_for(lambda: report.count(outcome) >= expected)
 
 
 def await_revision(run, *names):
-    """Wait until the last accepted revision is in force."""
-    run.system.await_revision(run.revision, run.chosen(names))
+    """Wait until the last accepted revision is in effect at daemons."""
+    run.system.await_revision(run.revision, run.select_daemons(names))
 
 
 def await_members(run, count, *names):
-    """Wait until daemons know so many live ones."""
-    run.system.await_members(int(count), run.chosen(names))
+    """Wait until daemons list `count` live members, themselves included."""
+    run.system.await_members(int(count), run.select_daemons(names))
 
 
 def await_draining(run, target, *names):
-    """Wait until each daemon knows that a target is leaving."""
-    for process in run.chosen(names):
-        wait_for(lambda p=process: _knows_draining(p, target))
+    """Wait until each daemon shows a target as draining."""
+    for process in run.select_daemons(names):
+        wait_for(lambda p=process: _shows_draining(p, target))
 
 
-def _knows_draining(process, target):
+def _shows_draining(process, target):
     document = process.read("operators", "/v1/dump") or {}
     states = [
         state
@@ -101,12 +102,12 @@
 
 
 def await_exit(run, name):
-    """Wait until a process has ended."""
+    """Wait until a process has exited."""
     wait_for(lambda: not run.process(name).alive)
 
 
 def await_state(run, name, state, seen_by):
-    """Wait until one daemon sees another in a state."""
+    """Wait until one daemon lists another one in a state."""
     process = run.system.daemons[seen_by]
     wait_for(lambda: _state_of(process, name) == state)
 
@@ -117,7 +118,7 @@
 
 
 def await_unsound(run, name):
-    """Wait until a daemon says that callers should go elsewhere."""
+    """Wait until a daemon reports that callers should use other daemons."""
     process = run.system.daemons[name]
     wait_for(
         lambda: (process.read("operators", "/v1/status") or {}).get("sound") is False
@@ -125,15 +126,15 @@
 
 
 def await_behind(run, *names):
-    """Wait until daemons say that they cannot apply a revision."""
-    for process in run.chosen(names):
+    """Wait until daemons report a revision that they cannot apply."""
+    for process in run.select_daemons(names):
         wait_for(
             lambda p=process: (p.read("operators", "/v1/status") or {}).get("behind")
         )
 
 
 def await_in_use(run, target, count):
-    """Wait until a target holds so many requests."""
+    """Wait until a target has at least `count` requests in progress."""
     process = run.system.targets[target]
     wait_for(
         lambda: (process.read("http", "/_control") or {}).get("in_use", 0) >= int(count)
@@ -151,4 +152,4 @@
     "in-use": await_in_use,
 }
 
-STEPS = {"load": load, "end": end, "mark": mark, "await": await_event}
+STEPS = {"load": start_load, "end": stop_load, "mark": mark_time, "await": await_event}
--- a/packages/standins/src/cairnferry/standins/_steps_processes.py
+++ b/packages/standins/src/cairnferry/standins/_steps_processes.py
@@ -1,4 +1,4 @@
-"""Steps that act on processes, connections, targets and the platform."""
+"""Scenario steps for processes, connections, targets and the platform."""
 
 import secrets
 import signal
@@ -9,8 +9,8 @@
 KEY_BYTES = 32
 
 
-def platform(run, word=None, value=None):
-    """Start the platform, or switch one of its faults."""
+def control_platform(run, word=None, value=None):
+    """Start the platform, or change one of its faults."""
     system = run.system
     match word:
         case None:
@@ -27,63 +27,74 @@
         case "lag":
             system.set_faults(list_lag_s=float(value))
         case _:
-            raise ScenarioFault(f"no such fault: {word}")
+            raise ScenarioFault(f"unknown fault of the platform: {word}")
 
 
-def target(run, name, zone, **settings):
-    """Start a target."""
+def start_target(run, name, zone, **settings):
+    """Start a target; `settings` are keys of the section "target"."""
     run.system.start_target(name, zone, **settings)
 
 
-def daemon(run, name, zone, seeds="", **settings):
-    """Start a daemon; `seeds` names daemons whose addresses it gets."""
+def start_daemon(run, name, zone, seeds="", **settings):
+    """Start a daemon.
+
+    `seeds` names the daemons that are its seed peers, separated by commas; `settings`
+    are settings as SECTION_KEY=value.
+    """
     dotted = {key.replace("_", "__", 1): text for key, text in settings.items()}
     if seeds:
-        chosen = [run.system.daemons[seed] for seed in seeds.split(",")]
-        addresses = [process.addresses["advertised"] for process in chosen]
+        seed_daemons = [run.system.daemons[seed] for seed in seeds.split(",")]
+        addresses = [process.addresses["advertised"] for process in seed_daemons]
         dotted["peers__seeds"] = ", ".join(addresses)
     run.daemon_settings[name] = dotted
     run.system.start_daemon(name, zone, **dotted)
 
 
-def serve(run):
-    """Publish the instances; wait until all know each other."""
+def await_serving(run):
+    """Publish the instance list and wait until all processes serve.
+
+    Each daemon must list all daemons as live members.
+    """
     run.system.publish_instances()
     run.system.await_serving()
     run.system.await_members(len(run.system.daemons))
-    run.mark_start()
+    run.mark_serving()
 
 
-def kill(run, name):
-    """End a process without notice."""
+def kill_process(run, name):
+    """Kill a process with SIGKILL."""
     process = run.process(name)
     process.popen.kill()
     process.popen.wait()
 
 
-def stop(run, name):
-    """Tell a process to leave."""
+def stop_process(run, name):
+    """Ask a process to drain and exit, with SIGTERM."""
     run.process(name).signal(signal.SIGTERM)
 
 
-def freeze(run, name):
-    """Pause a process."""
+def suspend_process(run, name):
+    """Suspend a process with SIGSTOP."""
     run.process(name).signal(signal.SIGSTOP)
 
 
-def thaw(run, name):
-    """Let a paused process go on."""
+def resume_process(run, name):
+    """Resume a suspended process with SIGCONT."""
     run.process(name).signal(signal.SIGCONT)
 
 
-def restart(run, name):
-    """Start a daemon again under its name and addresses."""
+def restart_daemon(run, name):
+    """Start a daemon again with the same name, addresses and settings."""
     zone = run.system.daemons[name].zone
     run.system.start_daemon(name, zone, **run.daemon_settings[name])
 
 
-def cut(run, name, what):
-    """Cut a daemon from the platform, or from all its peers."""
+def cut_connections(run, name, what):
+    """Cut a daemon off from the platform, or from all its peers.
+
+    To cut it off from its peers, the daemon gets another peer key and all connections
+    between peers are closed.
+    """
     if what == "platform":
         run.system.platform_relays[name].cut()
         return
@@ -92,27 +103,27 @@
         relay.drop()
 
 
-def heal(run, name, what):
-    """Undo `cut` and `hold`."""
+def restore_connections(run, name, what):
+    """Undo the steps `cut` and `hold`."""
     if what == "platform":
         run.system.platform_relays[name].heal()
         return
     run.system.write_key(name, run.system.peer_key)
 
 
-def hold(run, name):
-    """Let nothing pass between a daemon and the platform."""
+def stall_connections(run, name):
+    """Stall all traffic between a daemon and the platform, with connections open."""
     run.system.platform_relays[name].hold()
 
 
 def change_target(run, name, **behaviour):
-    """Change the behaviour of a target."""
-    values = {key: _value(text) for key, text in behaviour.items()}
+    """Change the behaviour of a target; the keys are those of `TargetBehaviour`."""
+    values = {key: _parse_value(text) for key, text in behaviour.items()}
     run.system.set_target(name, **values)
 
 
-def change_list(run, name, state):
-    """Change what the platform's list says of an instance."""
+def change_instance_state(run, name, state):
+    """Change the state of an instance in the platform's list."""
     if state == "leaving":
         run.system.leaving.add(name)
     else:
@@ -120,8 +131,8 @@
     run.system.publish_instances()
 
 
-def _value(text):
-    """Read a behaviour's value: yes, no, a number or a word."""
+def _parse_value(text):
+    """Parse a value of a behaviour: yes, no, a number or any other text."""
     if text in ("yes", "no"):
         return text == "yes"
     try:
@@ -132,18 +143,18 @@
 
 
 STEPS = {
-    "platform": platform,
-    "target": target,
-    "daemon": daemon,
-    "serve": serve,
-    "kill": kill,
-    "stop": stop,
-    "freeze": freeze,
-    "thaw": thaw,
-    "restart": restart,
-    "cut": cut,
-    "heal": heal,
-    "hold": hold,
+    "platform": control_platform,
+    "target": start_target,
+    "daemon": start_daemon,
+    "serve": await_serving,
+    "kill": kill_process,
+    "stop": stop_process,
+    "freeze": suspend_process,
+    "thaw": resume_process,
+    "restart": restart_daemon,
+    "cut": cut_connections,
+    "heal": restore_connections,
+    "hold": stall_connections,
     "set": change_target,
-    "list": change_list,
+    "list": change_instance_state,
 }
--- a/packages/standins/src/cairnferry/standins/_table.py
+++ b/packages/standins/src/cairnferry/standins/_table.py
@@ -1,10 +1,10 @@
-"""Stand-in for the table service: the operations that the product uses."""
+"""Stand-in for the table service, with the operations that the product uses."""
 
 import json
 
 import attrs
 
-MAX_TRANSACTION = 100
+MAX_TRANSACTION_ITEMS = 100
 MAX_ITEM_BYTES = 400 * 1024
 QUERY_PAGE_BYTES = 1024 * 1024
 ERROR_PREFIX = "com.amazonaws.dynamodb.v20120810#"
@@ -12,39 +12,47 @@
 
 @attrs.frozen
 class Refused(Exception):
-    """The service's own refusal.
+    """An error response of the table service.
 
     Attributes
     ----------
     name : str
         Name of the error.
     fields : dict
-        Further fields of the answer.
+        Further fields of the response.
     """
 
     name: str
     fields: dict
 
     def document(self) -> dict:
-        """Give the answer's body."""
+        """Return the body of the response."""
         return {"__type": ERROR_PREFIX + self.name, **self.fields}
 
 
 @attrs.define
 class TableStandin:
-    """Rows in memory, by partition and sort key."""
+    """Table in memory.
+
+    Attributes
+    ----------
+    rows : dict of (str, str) to dict
+        Rows by partition key and sort key.
+    reads, writes : int
+        Number of read and write operations so far.
+    """
 
     rows: dict[tuple[str, str], dict] = attrs.field(factory=dict)
     reads: int = 0
     writes: int = 0
 
     def handle(self, operation: str, document: dict) -> dict:
-        """Carry out an operation.
+        """Run an operation and return its response.
 
         Raises
         ------
         Refused
-            If the service would refuse it.
+            If the table service would respond with an error.
         """
         match operation:
             case "GetItem":
@@ -71,16 +79,16 @@
             for (pk, sk), row in sorted(self.rows.items())
             if pk == prefix and first <= sk <= last and sk > after
         ]
-        return _page(found)
+        return _paginate(found)
 
     def _transact(self, document):
         self.writes += 1
         puts = [item["Put"] for item in document["TransactItems"]]
-        if len(puts) > MAX_TRANSACTION:
+        if len(puts) > MAX_TRANSACTION_ITEMS:
             raise Refused("ValidationException", {"message": "too many items"})
         if any(len(json.dumps(put["Item"])) > MAX_ITEM_BYTES for put in puts):
             raise Refused("ValidationException", {"message": "item too large"})
-        reasons = [self._reason(put) for put in puts]
+        reasons = [self._check_condition(put) for put in puts]
         if any(reason["Code"] != "None" for reason in reasons):
             raise Refused(
                 "TransactionCanceledException", {"CancellationReasons": reasons}
@@ -89,23 +97,23 @@
             self.rows[_key(put["Item"])] = put["Item"]
         return {}
 
-    def _reason(self, put):
+    def _check_condition(self, put):
         row = self.rows.get(_key(put["Item"]))
         condition = put["ConditionExpression"]
         if condition == "attribute_not_exists(pk)":
-            holds = row is None
+            is_met = row is None
         else:
             expected = put["ExpressionAttributeValues"][":expected"]
-            holds = row is not None and row["version"] == expected
-        return {"Code": "None" if holds else "ConditionalCheckFailed"}
+            is_met = row is not None and row["version"] == expected
+        return {"Code": "None" if is_met else "ConditionalCheckFailed"}
 
 
 def _key(attributes):
     return attributes["pk"]["S"], attributes["sk"]["S"]
 
 
-def _page(rows):
-    """Cut an answer as the service does, at a size."""
+def _paginate(rows):
+    """Return the rows of the first page, whose size is limited as by the service."""
     size = 0
     for index, row in enumerate(rows):
         size += len(json.dumps(row))
--- a/packages/standins/src/cairnferry/standins/_target.py
+++ b/packages/standins/src/cairnferry/standins/_target.py
@@ -1,4 +1,4 @@
-"""Stand-in for a target: slots, service time, load reports, and faults."""
+"""Stand-in for a target, with slots, service times, load reports and faults."""
 
 import enum
 import hashlib
@@ -11,7 +11,7 @@
 import gevent
 from gevent.lock import BoundedSemaphore
 
-from cairnferry.standins._http import ReceivedRequest, SocketServer, encode_answer
+from cairnferry.standins._http import ReceivedRequest, SocketServer, encode_response
 
 CONTROL_PATH = "/_control"
 HEALTH_PATH = "/health"
@@ -19,15 +19,15 @@
 REFUSAL_HEADER = "X-Refused"
 REPORT_HEADER = "endpoint-load-metrics"
 LIMIT_HEADER = "Server-Limit"
-# Colon, space and line end of a header field.
-FIELD_BYTES = 4
-# A probe's request and answer, as they stand on the wire.
-PROBE_BYTES = 160
+# Bytes of the colon, space and line end of a header field.
+HEADER_FIELD_OVERHEAD_BYTES = 4
+# Bytes of the request and the response of a health probe on the wire.
+PROBE_EXCHANGE_BYTES = 160
 HANG_S = 3600.0
 
 
 class Fault(enum.StrEnum):
-    """What goes wrong with each request while it is switched on."""
+    """Fault that applies to each request while it is set."""
 
     NONE = "none"
     FAIL_FAST = "fail-fast"
@@ -42,50 +42,52 @@
 
 @attrs.define
 class TargetBehaviour:
-    """How the target behaves; each part is switched while it runs.
+    """Behaviour of a target; each field can be changed at run time.
 
     Attributes
     ----------
     slots : int
-        Requests that run at the same time; others queue.
+        Requests that run concurrently; further ones queue.
     service_ms : float
-        Time of one request in milliseconds.
+        Mean service time of a request before other fields apply, in milliseconds.
     spread : float
-        Share by which that time varies at random, 0 to 1.
+        Greatest random deviation of the service time, as a share of it, 0 to 1.
     slow_factor : float
         Factor on the service time.
     cold_s, cold_factor : float
-        Seconds from the start for which a further factor holds.
-    shed : bool
-        Whether it sheds all work as overloaded.
+        Seconds after the start for which `cold_factor` multiplies the service time.
     max_queue : int
-        Requests that may queue; more are shed.
+        Requests that may queue; further ones are shed.
+    shed : bool
+        Whether the target sheds all requests as overloaded.
     draining : bool
-        Whether its health answer says that it is leaving.
+        Whether the health endpoint reports the target as draining.
     refuse_draining : bool
-        Whether it refuses work while it drains.
+        Whether the target refuses requests while it drains.
     refuse_work : bool
-        Whether it refuses work as draining while its health answer says pass.
+        Whether the target refuses requests as draining although the health endpoint
+        reports "pass".
     reports : bool
-        Whether answers carry a load report.
+        Whether responses carry a load report.
     report_lag_ms : float
         Age of the reported load, in milliseconds.
     report_error : float
-        Factor on the reported load; 1 is right.
+        Factor on the reported load; 1 is exact.
     shed_by_contract : bool
-        Whether a refusal carries the contract's header.
+        Whether a refusal carries the header of the refusal contract.
     fault : Fault
-        What goes wrong.
+        Fault of each request.
     noise_ms, noise_share : float
-        Time in milliseconds added to a share (0 to 1) of the requests.
+        Time in milliseconds added to a random share (0 to 1) of the requests.
+    answer_delay_ms : float
+        Time between the end of the run and the response, in milliseconds.
     ends_on : str
-        Part of a path: a request that has it ends the target as it begins to run.
+        Part of a path: a request with it crashes the target as it starts to run; empty
+        for none.
     down_s : float
-        Seconds after which a target that ended so is back.
+        Seconds after which a target that crashed in this way serves again.
     limit : str
-        Requests a second that its answers say it takes; empty for none.
-    answer_delay_ms : float
-        Time between the end of the run and the answer, in milliseconds.
+        Limit in requests per second that responses advertise; empty for none.
     """
 
     slots: int = 6
@@ -118,16 +120,34 @@
     Parameters
     ----------
     address : tuple of (str, int)
-        Where to listen.
+        Host and port to listen on.
     name : str
-        Name that its answers give.
+        Name of the target in its responses.
     behaviour : TargetBehaviour
-        How it behaves.
+        Initial behaviour.
     seed : int, optional
-        Seed of its random choices.
+        Seed of the random choices.
     journal : file, optional
-        Gets a line for each request that arrives or runs, so that both are
-        known even of a target that was killed.
+        Gets a line for each request that arrives or ran, so that both are
+        available even if the process is killed.
+
+    Attributes
+    ----------
+    runs : list of (str, str)
+        Method and request ID of each request that ran.
+    seen : list of (float, str, str)
+        Time of arrival (`time.monotonic`, in seconds), method and request ID of each
+        request that arrived.
+    probes : int
+        Number of health probes.
+    measuring_bytes : int
+        Bytes of health probes and load reports on the wire.
+    refusals, failures : int
+        Number of refused requests, and of those that failed by `Fault.FAIL_FAST`.
+    in_use : int
+        Number of requests that run or queue.
+    crashes : int
+        Number of crashes by `ends_on`.
     """
 
     def __init__(self, address, name, behaviour, seed=1, journal=None):
@@ -140,7 +160,7 @@
         self.refusals = 0
         self.failures = 0
         self.in_use = 0
-        self.ends = 0
+        self.crashes = 0
         self._journal = journal
         self._rng = random.Random(seed)
         self._slots = BoundedSemaphore(behaviour.slots)
@@ -150,26 +170,26 @@
 
     @property
     def port(self) -> int:
-        """Port that it listens on."""
+        """Port that the target listens on."""
         return self.server.port
 
     def start(self) -> None:
-        """Begin to serve."""
+        """Start to serve."""
         self.server.start()
 
     def stop(self) -> None:
-        """Stop at once, as a process that is killed."""
+        """Stop at once, as a killed process does."""
         self.server.stop()
 
     def leave(self, notice: float, limit: float) -> None:
-        """Say that it is leaving, serve on for a while, finish, then stop.
+        """Report draining, continue to serve for a while, finish requests, then stop.
 
         Parameters
         ----------
         notice : float
-            Seconds for which it serves on.
+            Seconds for which new requests are still served.
         limit : float
-            Longest time in seconds for requests in flight after that.
+            Longest wait for requests in flight after that, in seconds.
         """
         self.behaviour.draining = True
         gevent.sleep(notice)
@@ -184,16 +204,16 @@
             return self._send_json(sock, 200, self._control(req))
         if req.path == HEALTH_PATH:
             self.probes += 1
-            self.measuring_bytes += PROBE_BYTES
+            self.measuring_bytes += PROBE_EXCHANGE_BYTES
             status = "draining" if self.behaviour.draining else "pass"
             return self._send_json(sock, 200, {"status": status})
         request_id = req.headers.get(ID_HEADER, "")
         self.seen.append((time.monotonic(), req.method, request_id))
-        self._write("seen", req.method, request_id)
-        return self._work(sock, req, request_id)
+        self._write_journal("seen", req.method, request_id)
+        return self._handle_work(sock, req, request_id)
 
     def _control(self, req: ReceivedRequest):
-        """Change the behaviour, or report what was seen."""
+        """Change the behaviour as requested, and return the counters."""
         changes = json.loads(req.body) if req.body else {}
         for name, value in changes.items():
             converted = Fault(value) if name == "fault" else value
@@ -206,17 +226,17 @@
             "refusals": self.refusals,
             "failures": self.failures,
             "in_use": self.in_use,
-            "ends": self.ends,
+            "ends": self.crashes,
             "connections": self.server.connections,
         }
 
-    def _write(self, event, method, request_id):
+    def _write_journal(self, event, method, request_id):
         if self._journal is not None:
             line = json.dumps([event, time.monotonic(), method, request_id])
             self._journal.write(line + "\n")
             self._journal.flush()
 
-    def _work(self, sock, req, request_id):
+    def _handle_work(self, sock, req, request_id):
         behaviour = self.behaviour
         if behaviour.fault is Fault.CUT_BEFORE_RUN:
             return False
@@ -228,22 +248,22 @@
         if behaviour.shed or self.in_use >= behaviour.slots + behaviour.max_queue:
             return self._refuse(sock, "overloaded")
         if behaviour.ends_on and behaviour.ends_on in req.path:
-            return self._end()
-        self._count(1)
+            return self._crash()
+        self._add_in_use(1)
         try:
             with self._slots:
                 gevent.sleep(self._service_time())
                 self.runs.append((req.method, request_id))
-                self._write("ran", req.method, request_id)
+                self._write_journal("ran", req.method, request_id)
         finally:
-            self._count(-1)
-        return self._answer(sock, req, request_id)
+            self._add_in_use(-1)
+        return self._respond(sock, req, request_id)
 
-    def _end(self):
-        """End with all that runs, and be back after a while."""
-        self.ends += 1
+    def _crash(self):
+        """Abort all requests and connections, and serve again after `down_s`."""
+        self.crashes += 1
         self.server.abort()
-        gevent.spawn_later(self.behaviour.down_s, self.server.start_again)
+        gevent.spawn_later(self.behaviour.down_s, self.server.restart)
         return False
 
     def _service_time(self):
@@ -256,7 +276,7 @@
             seconds += behaviour.noise_ms / 1000
         return seconds
 
-    def _count(self, step):
+    def _add_in_use(self, step):
         self.in_use += step
         if self.behaviour.report_lag_ms:
             self._loads.append((time.monotonic(), self.in_use))
@@ -266,11 +286,11 @@
         headers = [("Retry-After", "1")]
         if self.behaviour.shed_by_contract:
             headers.append((REFUSAL_HEADER, reason))
-        headers += self._report()
-        sock.sendall(encode_answer(503, headers, b"refused"))
+        headers += self._report_headers()
+        sock.sendall(encode_response(503, headers, b"refused"))
         return True
 
-    def _answer(self, sock, req, request_id):
+    def _respond(self, sock, req, request_id):
         behaviour = self.behaviour
         if behaviour.answer_delay_ms:
             gevent.sleep(behaviour.answer_delay_ms / 1000)
@@ -278,14 +298,16 @@
             return False
         if behaviour.fault is Fault.HANG:
             gevent.sleep(HANG_S)
-        body = answer_body(req, request_id, self.name)
+        body = response_body(req, request_id, self.name)
         if req.method == "HEAD":
             body = b""
-        data = encode_answer(200, [(ID_HEADER, request_id), *self._report()], body)
-        return self._send_broken(sock, data, body)
+        data = encode_response(
+            200, [(ID_HEADER, request_id), *self._report_headers()], body
+        )
+        return self._send_response(sock, data, body)
 
-    def _send_broken(self, sock, data, body):
-        """Send an answer, broken as the fault has it."""
+    def _send_response(self, sock, data, body):
+        """Send a response, malformed according to the fault."""
         match self.behaviour.fault:
             case Fault.CUT_ANSWER:
                 sock.sendall(data[:-5])
@@ -297,60 +319,64 @@
                 sock.sendall(data + data)
                 return True
             case Fault.OVERSIZE:
-                sock.sendall(encode_answer(200, [], b"x" * 32 * 1024 * 1024))
+                sock.sendall(encode_response(200, [], b"x" * 32 * 1024 * 1024))
                 return True
         sock.sendall(data)
         return True
 
-    def _report(self):
+    def _report_headers(self):
         named = [(LIMIT_HEADER, self.behaviour.limit)] if self.behaviour.limit else []
         if not self.behaviour.reports:
             return named
         value = self._reported_load() * self.behaviour.report_error
         text = f"TEXT named_metrics.in_use={value:g}"
-        self.measuring_bytes += len(REPORT_HEADER) + len(text) + FIELD_BYTES
+        self.measuring_bytes += (
+            len(REPORT_HEADER) + len(text) + HEADER_FIELD_OVERHEAD_BYTES
+        )
         return [*named, (REPORT_HEADER, text)]
 
     def _reported_load(self):
         if not self.behaviour.report_lag_ms:
             return self.in_use
-        shown_at = time.monotonic() - self.behaviour.report_lag_ms / 1000
-        shown = 0
+        reported_at = time.monotonic() - self.behaviour.report_lag_ms / 1000
+        reported = 0
         for at, load in reversed(self._loads):
-            if at <= shown_at:
-                shown = load
+            if at <= reported_at:
+                reported = load
                 break
-        return shown
+        return reported
 
     def _send_json(self, sock, status, document):
         body = json.dumps(document).encode()
-        headers = [("Content-Type", "application/json"), *self._report()]
-        sock.sendall(encode_answer(status, headers, body))
+        headers = [("Content-Type", "application/json"), *self._report_headers()]
+        sock.sendall(encode_response(status, headers, body))
         return True
 
 
 def read_journal(path) -> dict[str, list[tuple[float, str, str]]]:
-    """Read a journal; give time, method and request ID by "seen" and "ran"."""
+    """Return the time, method and request ID of each event, by "seen" and "ran"."""
     events = {"seen": [], "ran": []}
     with open(path, encoding="utf-8") as file:
         for line in file:
-            # The last line of a target that was killed may be cut.
+            # The last line of a target that was killed may be incomplete.
             if line.endswith("\n"):
                 event, at, method, request_id = json.loads(line)
                 events[event].append((at, method, request_id))
     return events
 
 
-def answer_body(req: ReceivedRequest, request_id: str, name: str) -> bytes:
-    """Give the body of an answer: whose it is, and a sum over it."""
+def response_body(req: ReceivedRequest, request_id: str, name: str) -> bytes:
+    """Return the body of a response: the request it belongs to, and a checksum."""
     digest = hashlib.blake2b(req.body, digest_size=8).hexdigest()
     text = f"{request_id} {req.method} {req.path} {digest} {name}"
     check = hashlib.blake2b(text.encode(), digest_size=8).hexdigest()
     return f"{text} {check}".encode()
 
 
-def is_own_answer(body: bytes, method: str, path: str, sent: bytes, request_id) -> bool:
-    """Tell whether an answer is whole and belongs to a request."""
+def is_own_response(
+    body: bytes, method: str, path: str, sent: bytes, request_id
+) -> bool:
+    """Return whether a response is complete and belongs to a request."""
     text, _, check = body.decode("latin-1").rpartition(" ")
     if hashlib.blake2b(text.encode("latin-1"), digest_size=8).hexdigest() != check:
         return False
--- a/packages/standins/src/cairnferry/standins/_waiting.py
+++ b/packages/standins/src/cairnferry/standins/_waiting.py
@@ -1,24 +1,32 @@
-"""Waiting for events, which may come at any time."""
+"""Polling for a condition, with a timeout."""
 
 import time
 
-# Seconds after which an event is taken for one that does not come, and between two
-# looks for it.
+# Seconds after which an awaited event counts as missing, and seconds between two
+# evaluations of its condition.
 EVENT_TIMEOUT_S = 30.0
-LOOK_S = 0.02
+POLL_INTERVAL_S = 0.02
 
 
 class EventTimeout(AssertionError):
-    """An awaited event did not come."""
+    """The awaited event did not occur within the timeout."""
 
 
 def wait_for(condition, timeout: float = EVENT_TIMEOUT_S):
-    """Wait until a condition holds; give its value.
+    """Wait until a condition is true, and return its value.
+
+    Parameters
+    ----------
+    condition : callable
+        Evaluated repeatedly, without arguments.
+    timeout : float, optional
+        Time limit in seconds. It is far longer than any event takes and only ends the
+        wait in a broken system.
 
     Raises
     ------
     EventTimeout
-        If it does not come in time; the bound is for a broken system only.
+        If the condition is not true within the time limit.
     """
     deadline = time.monotonic() + timeout
     while True:
@@ -27,4 +35,4 @@
             return value
         if time.monotonic() >= deadline:
             raise EventTimeout("the awaited event did not come")
-        time.sleep(LOOK_S)
+        time.sleep(POLL_INTERVAL_S)
--- a/packages/standins/src/cairnferry/standins/command.py
+++ b/packages/standins/src/cairnferry/standins/command.py
@@ -1,6 +1,6 @@
-"""Command line of the stand-ins."""
+"""Command line of the stand-ins, `cairnferry-standin`."""
 
-# The patches must come before any module that uses sockets is imported.
+# The patches must be applied before any module that uses sockets is imported.
 from gevent import monkey
 
 monkey.patch_all()
@@ -22,40 +22,49 @@
 from cairnferry.standins._target import TargetBehaviour, TargetStandin  # noqa: E402
 
 EXIT_SETTINGS = 2
-LEAVE_S = 10.0
+DRAIN_TIMEOUT_S = 10.0
 US_PER_MS = 1000
 
-PLATFORM_KEYS = (Key("platform", "listen", ValueType.ADDRESS, "where to listen"),)
+PLATFORM_KEYS = (Key("platform", "listen", ValueType.ADDRESS, "listen address"),)
 
 TARGET_KEYS = (
-    Key("target", "listen", ValueType.ADDRESSES, "where to listen, one target each"),
-    Key("target", "name", ValueType.NAME, "name in answers", default="target"),
-    Key("target", "slots", ValueType.INTEGER, "requests at once", 6, "-", 1, 10000),
+    Key("target", "listen", ValueType.ADDRESSES, "listen addresses, one target each"),
+    Key("target", "name", ValueType.NAME, "name in responses", default="target"),
+    Key("target", "slots", ValueType.INTEGER, "concurrent requests", 6, "-", 1, 10000),
     Key("target", "service_ms", ValueType.NUMBER, "service time", 5.0, "ms", 0, 60000),
-    Key(
-        "target", "max_queue", ValueType.INTEGER, "waiting requests", 1000, "-", 0, 1e6
-    ),
+    Key("target", "max_queue", ValueType.INTEGER, "queued requests", 1000, "-", 0, 1e6),
     Key("target", "cold_s", ValueType.NUMBER, "cold start", 0.0, "s", 0, 600),
     Key(
         "target",
         "cold_factor",
         ValueType.NUMBER,
-        "factor while cold",
+        "factor on the service time during the cold start",
         1.0,
         "-",
         1,
         1000,
     ),
     Key(
-        "target", "notice_s", ValueType.NUMBER, "serves on when told to leave", 3.0, "s"
+        "target",
+        "notice_s",
+        ValueType.NUMBER,
+        "time to continue serving after SIGTERM",
+        3.0,
+        "s",
+    ),
+    Key(
+        "target",
+        "journal",
+        ValueType.PATH,
+        "file for a line per request",
+        optional=True,
     ),
-    Key("target", "journal", ValueType.PATH, "file for each request", optional=True),
     Key("target", "seed", ValueType.INTEGER, "seed", 1, "-", 0, 2**31),
 )
 
 LOAD_KEYS = (
-    Key("load", "entries", ValueType.ADDRESSES, "daemons to ask for addresses"),
-    Key("load", "service", ValueType.NAME, "service to ask for"),
+    Key("load", "entries", ValueType.ADDRESSES, "addresses of daemons"),
+    Key("load", "service", ValueType.NAME, "service to request addresses for"),
     Key("load", "operations", ValueType.PATH, "such as 'GET /a 9, POST /b 1'"),
     Key("load", "rate", ValueType.NUMBER, "requests", 100.0, "1/s", 0.1, 100000),
     Key("load", "seconds", ValueType.NUMBER, "length", 10.0, "s", 0.1, 3600),
@@ -64,23 +73,54 @@
     Key("load", "seed", ValueType.INTEGER, "seed", 1, "-", 0, 2**31),
     Key("load", "prefix", ValueType.NAME, "prefix of request IDs", default="r"),
     Key(
-        "load", "steer", ValueType.BOOLEAN, "whether to ask for addresses", default=True
+        "load",
+        "steer",
+        ValueType.BOOLEAN,
+        "whether to use the steering endpoint",
+        default=True,
+    ),
+    Key(
+        "load",
+        "ahead",
+        ValueType.INTEGER,
+        "GETs pipelined on one connection",
+        1,
+        "requests",
+        1,
+        100,
+    ),
+    Key(
+        "load",
+        "outcomes",
+        ValueType.PATH,
+        "file for the outcome of each request",
+        optional=True,
+    ),
+    Key(
+        "load",
+        "report",
+        ValueType.PATH,
+        "file for the latency histogram",
+        optional=True,
+    ),
+    Key(
+        "load",
+        "timeline",
+        ValueType.PATH,
+        "file for the latency of each request",
+        optional=True,
     ),
-    Key("load", "ahead", ValueType.INTEGER, "GETs sent at once", 1, "requests", 1, 100),
-    Key("load", "outcomes", ValueType.PATH, "file for each outcome", optional=True),
-    Key("load", "report", ValueType.PATH, "file for the hdrhistogram", optional=True),
-    Key("load", "timeline", ValueType.PATH, "file for each latency", optional=True),
 )
 
 _Config = typing.Annotated[
     str | None, cappa.Arg(short="-c", long="--config", help="INI file")
 ]
 _Set = typing.Annotated[
-    list[str], cappa.Arg(long="--set", help="section.key=value; goes before the file")
+    list[str], cappa.Arg(long="--set", help="section.key=value; overrides the file")
 ]
 
 
-@cappa.command(name="platform", help="table, objects and instance list")
+@cappa.command(name="platform", help="table, object store and instance list")
 @attrs.define
 class Platform:
     """Stand-in for the platform."""
@@ -110,7 +150,7 @@
 @cappa.command(name="cairnferry-standin")
 @attrs.define
 class Standin:
-    """Test-side stand-ins."""
+    """Stand-ins for tests and benchmarks."""
 
     command: cappa.Subcommands[Platform | Target | Load]
 
@@ -120,14 +160,14 @@
     args = cappa.parse(Standin).command
     match args:
         case Platform():
-            _run_platform(_settings(PLATFORM_KEYS, args))
+            _run_platform(_read_settings(PLATFORM_KEYS, args))
         case Target():
-            _run_targets(_settings(TARGET_KEYS, args))
+            _run_targets(_read_settings(TARGET_KEYS, args))
         case Load():
-            _run_load(_settings(LOAD_KEYS, args))
+            _run_load(_read_settings(LOAD_KEYS, args))
 
 
-def _settings(keys, args):
+def _read_settings(keys, args):
     overrides = dict(text.partition("=")[::2] for text in args.set)
     cfg = read_settings(keys, args.config, overrides)
     if cfg.is_error():
@@ -138,7 +178,7 @@
     return cfg.ok
 
 
-def _wait_for_end():
+def _wait_for_signal():
     ended = Event()
     gevent.signal_handler(signal.SIGTERM, ended.set)
     gevent.signal_handler(signal.SIGINT, ended.set)
@@ -149,7 +189,7 @@
 def _run_platform(cfg):
     standin = PlatformStandin(cfg.get("platform", "listen").as_tuple())
     standin.start()
-    _wait_for_end()
+    _wait_for_signal()
 
 
 def _run_targets(cfg):
@@ -171,10 +211,10 @@
         )
     for standin in standins:
         standin.start()
-    _wait_for_end()
+    _wait_for_signal()
     group = Group()
     for standin in standins:
-        group.spawn(standin.leave, cfg.get("target", "notice_s"), LEAVE_S)
+        group.spawn(standin.leave, cfg.get("target", "notice_s"), DRAIN_TIMEOUT_S)
     group.join()
 
 
@@ -190,7 +230,7 @@
         seed=cfg.get("load", "seed"),
         prefix=cfg.get("load", "prefix"),
         steer=cfg.get("load", "steer"),
-        ahead=cfg.get("load", "ahead"),
+        pipeline_depth=cfg.get("load", "ahead"),
     )
     report = run_load(plan)
     path = cfg.get("load", "outcomes")
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,6 +1,6 @@
 """Fixtures for all tests."""
 
-# The daemon runs on patched sockets, and so do its tests.
+# The daemon uses sockets that gevent has patched, and so do its tests.
 from gevent import monkey
 
 monkey.patch_all()
@@ -15,7 +15,7 @@
 from cairnferry.entry.callers._callers import BodyLimits, CallersApp  # noqa: E402
 from cairnferry.entry.callers._forward import Forwarder  # noqa: E402
 from cairnferry.entry.callers._guard import CrashGuard  # noqa: E402
-from cairnferry.entry.http._http_server import Limits  # noqa: E402
+from cairnferry.entry.http._http_server import ListenerLimits  # noqa: E402
 from cairnferry.entry.http._pipelined_server import PipelinedServer  # noqa: E402
 from cairnferry.entry.targets._crash_detector import CrashDetector  # noqa: E402
 from cairnferry.entry.targets._services import Services  # noqa: E402
@@ -33,43 +33,43 @@
 from cairnferry.wire import Client  # noqa: E402
 
 HOST = "127.0.0.1"
-GUARD_S = 120
+TEST_TIMEOUT_S = 120
 
 
 def pytest_addoption(parser):
-    """Let several processes run a part of the tests each."""
+    """Add an option to run only a part of the tests, one of several processes."""
     parser.addoption("--part", default="0/1", help="INDEX/COUNT of this process")
 
 
 def pytest_collection_modifyitems(config, items):
-    """Keep each COUNTth test of each file: the slow files are shared by all.
+    """Keep every COUNTth test of each file, so that all processes share slow files.
 
-    Tests with golden files stay together: a process that ran a part of them would
-    call the golden files of the others unused, and fail.
+    All tests with golden files run in one process: with only a part of them, the other
+    golden files would count as unused, which fails the run.
     """
     index, count = (int(number) for number in config.getoption("--part").split("/"))
-    places = collections.Counter()
-    kept, left = [], []
+    positions = collections.Counter()
+    kept, deselected = [], []
     for item in items:
         is_golden = "snapshot" in item.fixturenames
-        place = 0 if is_golden else places[item.path]
-        places[item.path] += 1
-        (kept if place % count == index else left).append(item)
+        position = 0 if is_golden else positions[item.path]
+        positions[item.path] += 1
+        (kept if position % count == index else deselected).append(item)
     items[:] = kept
-    config.hook.pytest_deselected(items=left)
+    config.hook.pytest_deselected(items=deselected)
 
 
 @pytest.fixture(autouse=True)
 def guard():
-    """End a test that waits for an event which never comes."""
-    with gevent.Timeout(GUARD_S):
+    """Fail a test that runs longer than TEST_TIMEOUT_S seconds."""
+    with gevent.Timeout(TEST_TIMEOUT_S):
         yield
 
 
 def receive_all(sock):
-    """Give what comes until the connection ends.
+    """Return all bytes until the connection ends.
 
-    An end by reset is as good: the other side closed with input left unread.
+    A reset counts as an end: it occurs if the peer closes with unread input.
     """
     received = b""
     try:
@@ -82,12 +82,12 @@
 
 @pytest.fixture
 def read_to_end():
-    """Give the function that reads a connection to its end."""
+    """Return the function that reads a connection to its end."""
     return receive_all
 
 
 def receive_until(sock, text):
-    """Give what comes until a text has come."""
+    """Return the bytes received until they contain a text."""
     received = b""
     while text not in received:
         part = sock.recv(65536)
@@ -98,13 +98,13 @@
 
 @pytest.fixture
 def read_until():
-    """Give the function that reads a connection up to a text."""
+    """Return the function that reads a connection up to a text."""
     return receive_until
 
 
 @pytest.fixture
 def serve_bytes():
-    """Start a server that answers each connection's first request with bytes."""
+    """Start servers that respond to the first request of a connection with bytes."""
     servers = []
 
     def start(*chunks, close=True):
@@ -116,7 +116,7 @@
             if close:
                 sock.close()
             else:
-                gevent.sleep(GUARD_S)
+                gevent.sleep(TEST_TIMEOUT_S)
 
         server = StreamServer((HOST, 0), handle)
         server.start()
@@ -130,7 +130,7 @@
 
 @pytest.fixture
 def start_target():
-    """Start targets in this process."""
+    """Start stand-in targets in this process."""
     targets = []
 
     def start(name="t", **behaviour):
@@ -146,18 +146,18 @@
 
 @pytest.fixture
 def system(tmp_path):
-    """Give an empty system of separate processes."""
+    """Return a system of separate processes, none of them started."""
     with LocalSystem(tmp_path) as system:
         yield system
 
 
 @pytest.fixture
 def start_entry():
-    """Start the callers' side of a daemon in this process, with given records."""
+    """Start a daemon's listener for callers in this process, with given records."""
     servers = []
 
     def start(*documents, **limits):
-        entry = CallersSide(documents, **limits)
+        entry = EntryUnderTest(documents, **limits)
         servers.append(entry)
         return entry
 
@@ -166,8 +166,8 @@
         server.stop()
 
 
-class CallersSide:
-    """Callers' listener, services and connections, without cluster or platform."""
+class EntryUnderTest:
+    """Listener for callers, services and connections, without cluster or platform."""
 
     def __init__(self, documents, max_body=65536, max_connections=100, body_s=5.0):
         self.services = Services("z", random.Random(5), lambda policy: None)
@@ -188,7 +188,7 @@
             self.metrics,
             BodyLimits(max_body, body_s),
         )
-        limits = Limits(max_connections, idle_s=30.0, head_s=body_s)
+        limits = ListenerLimits(max_connections, idle_s=30.0, head_s=body_s)
         self.server = PipelinedServer((HOST, 0), app, limits)
         self.server.start()
 
@@ -203,7 +203,7 @@
         return Client(HOST, self.port).call(method, path, timeout=timeout, **options)
 
     def raw(self, data):
-        """Send bytes; give all that comes back until the connection ends."""
+        """Send bytes and return all bytes received until the connection ends."""
         with gevent.socket.create_connection((HOST, self.port)) as sock:
             sock.sendall(data)
             return receive_all(sock)
@@ -215,7 +215,7 @@
 
 @pytest.fixture
 def records_for():
-    """Make a service, a route and targets for stand-ins of this process."""
+    """Return records of a service, a route and stand-in targets of this process."""
 
     def make(*targets, route=None, **service):
         documents = [
--- a/tests/scenarios/test_pairs.py
+++ b/tests/scenarios/test_pairs.py
@@ -1,9 +1,9 @@
-"""Every event alone and in pairs, under load, on one running system.
+"""Each event alone and in pairs, under load, on one running system.
 
-Symptom looked for: a request lost, crossed or run twice, a lie about an outcome,
-or an old configuration in force. Sequence: one event begins, a second one begins
-while it lasts, both end in the same order, and the system has to come back.
-Cause: what recovers from one event may be what the other one breaks.
+Guards against requests that are lost, run twice or get another request's response,
+against wrong outcomes, and against an old configuration in effect. One event begins, a
+second one begins during it, both end in the same order, and the system must recover.
+The recovery from one event may depend on a part that the other event breaks.
 """
 
 import itertools
@@ -29,7 +29,7 @@
 await revision
 """
 
-# What begins and ends each event.
+# Steps that begin and end each event.
 EVENTS = {
     "daemon killed": ("kill e3", "restart e3"),
     "daemon frozen": ("freeze e3", "thaw e3"),
@@ -46,7 +46,7 @@
     "list calling a target leaving": ("list d leaving", "list d live"),
 }
 
-# After both events: new work is served again, and a change comes into force.
+# After both events, requests must be served again and a change must take effect.
 RECOVERY = """
 await members 3
 await {load} ok 40
--- a/tests/scenarios/test_scenarios.py
+++ b/tests/scenarios/test_scenarios.py
@@ -1,4 +1,4 @@
-"""Runs each scenario file beside this module."""
+"""Runs each scenario file in this folder."""
 
 import pathlib
 
@@ -15,6 +15,6 @@
 
 
 @pytest.mark.parametrize("path", FILES, ids=lambda path: path.stem)
-def test_the_head_tells_the_failure(path):
+def test_the_head_is_complete(path):
     scenario = parse_scenario(path.read_text(encoding="utf-8"))
     assert all([scenario.title, scenario.symptom, scenario.events, scenario.cause])
--- a/tests/standins/test_load.py
+++ b/tests/standins/test_load.py
@@ -1,15 +1,15 @@
-"""The callers' report."""
+"""The report of the callers, and their pipelined requests."""
 
 import json
 import subprocess
 import sys
 
-from cairnferry.standins._ahead import call_ahead
 from cairnferry.standins._load import LoadPlan, Operation, run_load
+from cairnferry.standins._pipelined import call_pipelined
 from cairnferry.wire import Incomplete, NotSent
 
 
-def test_the_latencies_are_written_as_hdrhistogram_writes_them(start_target, tmp_path):
+def test_latencies_are_written_in_the_hdrhistogram_format(start_target, tmp_path):
     target = start_target(service_ms=0)
     path = tmp_path / "latency.hgrm"
     settings = {
@@ -31,7 +31,7 @@
     assert f"TotalCount     = {answered:>8}.000]" in path.read_text()
 
 
-def test_requests_are_sent_ahead_and_each_is_answered(
+def test_each_pipelined_request_gets_its_response(
     start_entry, records_for, start_target
 ):
     target = start_target(service_ms=0, slots=64)
@@ -45,7 +45,7 @@
         seconds=0.5,
         timeout_ms=60_000,
         steer=False,
-        ahead=3,
+        pipeline_depth=3,
     )
     report = run_load(plan)
     assert report.outcomes
@@ -53,15 +53,17 @@
     assert entry.server.lookahead.total
 
 
-def test_what_was_sent_behind_a_closing_answer_was_not_read(serve_bytes):
+def test_requests_after_connection_close_are_not_sent(serve_bytes):
     closing = b"HTTP/1.1 200 OK\r\nConnection: close\r\nContent-Length: 1\r\n\r\nx"
     port = serve_bytes(closing)
-    first, second = call_ahead(("127.0.0.1", port), [b"GET / HTTP/1.1\r\n\r\n"] * 2, 5)
+    first, second = call_pipelined(
+        ("127.0.0.1", port), [b"GET / HTTP/1.1\r\n\r\n"] * 2, 5
+    )
     assert (first.status, first.body) == (200, b"x")
     assert isinstance(second, NotSent)
 
 
-def test_an_answer_that_is_cut_tells_nothing_of_those_behind(serve_bytes):
+def test_requests_after_a_truncated_response_are_incomplete(serve_bytes):
     port = serve_bytes(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nx")
-    outcomes = call_ahead(("127.0.0.1", port), [b"GET / HTTP/1.1\r\n\r\n"] * 2, 5)
+    outcomes = call_pipelined(("127.0.0.1", port), [b"GET / HTTP/1.1\r\n\r\n"] * 2, 5)
     assert [type(outcome) for outcome in outcomes] == [Incomplete, Incomplete]
