--- a/bench/__main__.py
+++ b/bench/__main__.py
@@ -1,6 +1,6 @@
-"""Command of the benchmark: `make bench`."""
+"""Run the benchmark of the strategies: `make bench`."""
 
-# The patches must come before any module that uses sockets is imported.
+# gevent must patch the standard library before any module that uses sockets loads.
 from gevent import monkey
 
 monkey.patch_all()
@@ -21,8 +21,8 @@
 
 
 def main() -> int:
-    """Run the cases, interleaved over the strategies, and write the report."""
-    args = _arguments()
+    """Run every case under every strategy in turn, and write the report."""
+    args = _parse_arguments()
     results = json.loads(RESULTS.read_text()) if RESULTS.exists() else []
     for size in SIZES:
         if args.size in ("all", size.name):
@@ -34,10 +34,14 @@
     return 0
 
 
-def _arguments():
+def _parse_arguments():
     parser = argparse.ArgumentParser(prog="make bench")
     parser.add_argument("--size", default="all")
-    parser.add_argument("--cases", default="", help="part of the names, with commas")
+    parser.add_argument(
+        "--cases",
+        default="",
+        help="comma-separated parts of case names; all cases if empty",
+    )
     parser.add_argument("--repeats", type=int, default=3)
     parser.add_argument("--daemons", type=int, default=4)
     return parser.parse_args()
@@ -51,7 +55,7 @@
             bench.start_targets()
             for strategy in STRATEGY_NAMES:
                 bench.start_group(strategy, args.daemons)
-            bench.serve()
+            bench.configure()
             for repeat in range(args.repeats):
                 rows += _run_cases(bench, size, args, repeat)
     return rows
@@ -59,8 +63,8 @@
 
 def _run_cases(bench, size, args, repeat):
     rows = []
-    for index, case in enumerate(_chosen(args.cases)):
-        # Each strategy begins in turn, so that none always runs first.
+    for index, case in enumerate(_select_cases(args.cases)):
+        # Rotate the order, so that each strategy runs first equally often.
         turn = (index + repeat) % len(STRATEGY_NAMES)
         order = [*STRATEGY_NAMES[turn:], *STRATEGY_NAMES[:turn]]
         for strategy in order:
@@ -78,7 +82,7 @@
     return rows
 
 
-def _chosen(names):
+def _select_cases(names):
     parts = [part for part in names.split(",") if part]
     return [c for c in CASES if not parts or any(part in c.name for part in parts)]
 
--- a/bench/cases.py
+++ b/bench/cases.py
@@ -2,26 +2,28 @@
 
 import attrs
 
-SECONDS = 5.0
+# Seconds of load in a run, of its warm-up, and up to the first event.
+RUN_S = 5.0
 WARM_UP_S = 1.0
 EVENT_AT_S = 1.0
-# Answers are judged from one second after the event on.
-JUDGED_FROM_S = 2.0
+# In a case with events, requests are measured from this many seconds after the start of
+# the load on, which is one second after EVENT_AT_S.
+MEASURED_FROM_S = 2.0
 
 
 @attrs.frozen
 class Size:
-    """A user's service, as far as this machine carries it.
+    """Model of a user's service, scaled to one machine.
 
     Attributes
     ----------
     name : str
-        Whose it is.
+        Name of the user whose service is modelled.
     targets, slots : int
-        Number of targets and of slots of each.
+        Number of targets, and number of slots of each target.
     service_ms : float
-        Time of a request in milliseconds; longer than the users', so that the
-        slots are full at a rate that eight cores carry.
+        Service time of a request in milliseconds. It is longer than the user's, so
+        that all slots are busy at a request rate that eight cores can handle.
     """
 
     name: str
@@ -31,7 +33,7 @@
 
     @property
     def capacity(self) -> float:
-        """Requests a second that fill all slots."""
+        """Requests a second that keep all slots busy."""
         return self.targets * self.slots / (self.service_ms / 1000)
 
 
@@ -42,16 +44,16 @@
 
 @attrs.frozen
 class Event:
-    """A change of some targets' behaviour.
+    """A change of the behaviour of some targets during a run.
 
     Attributes
     ----------
     at : float
         Seconds from the start of the load.
     targets : slice
-        Which targets, in the order of their names.
+        Targets that change, as a slice of all targets sorted by name.
     behaviour : dict
-        What changes.
+        Settings of the target stand-in that change, and their new values.
     """
 
     at: float
@@ -61,18 +63,19 @@
 
 @attrs.frozen
 class Case:
-    """One course of events under load.
+    """A load and the events during it.
 
     Attributes
     ----------
     name : str
-        Name in the table.
+        Name in the results.
     load : float
-        Requests a second as a share of the capacity.
+        Requests a second, as a share of the capacity.
     events : tuple of Event
-        In the order of their times.
+        Events, sorted by time.
     background : float
-        Further background requests, as a share of the capacity.
+        Additional requests a second of background priority, as a share of the
+        capacity.
     """
 
     name: str
@@ -84,14 +87,15 @@
 ALL = slice(None)
 ONE = slice(0, 1)
 TWO = slice(0, 2)
-ZONE = slice(0, None, 2)
+# `Bench.start_targets` places every second target in zone-a, beginning with the first.
+ZONE_A = slice(0, None, 2)
 
 
-def _pulses():
-    """Make one target ten times slower for 200 ms, again and again."""
+def _slow_pulses():
+    """Return events that make one target ten times slower for 200 ms, every 600 ms."""
     events = []
     at = EVENT_AT_S
-    while at < SECONDS:
+    while at < RUN_S:
         events.append(Event(at, ONE, {"slow_factor": 10}))
         events.append(Event(at + 0.2, ONE, {"slow_factor": 1}))
         at += 0.6
@@ -102,7 +106,7 @@
     Case("steady 50 %", 0.5),
     Case("steady 70 %", 0.7),
     Case("steady 85 %", 0.85),
-    Case("slow pulses", 0.6, _pulses()),
+    Case("slow pulses", 0.6, _slow_pulses()),
     Case("slow target", 0.6, (Event(EVENT_AT_S, ONE, {"slow_factor": 10}),)),
     Case("noise", 0.7, (Event(0, ALL, {"noise_ms": 30, "noise_share": 0.1}),)),
     Case("reports 100 ms old", 0.7, (Event(0, ALL, {"report_lag_ms": 100}),)),
@@ -111,7 +115,7 @@
         "reports wrong",
         0.7,
         (
-            Event(0, ZONE, {"report_error": 3}),
+            Event(0, ZONE_A, {"report_error": 3}),
             Event(0, slice(1, None, 2), {"report_error": 0}),
         ),
     ),
@@ -129,11 +133,12 @@
     Case("archive flood", 0.5, background=0.8),
     Case("all 100 %", 1.0),
     Case("all 130 %", 1.3),
-    Case("zone lost", 0.35, (Event(EVENT_AT_S, ZONE, {"fault": "hang"}),)),
+    Case("zone lost", 0.35, (Event(EVENT_AT_S, ZONE_A, {"fault": "hang"}),)),
     Case("all failing", 0.5, (Event(EVENT_AT_S, ALL, {"fault": "cut-before-run"}),)),
 )
 
-HEALTHY = {
+# Behaviour that each target is reset to before a run.
+HEALTHY_BEHAVIOUR = {
     "slow_factor": 1,
     "noise_ms": 0,
     "noise_share": 0,
--- a/bench/days/__init__.py
+++ b/bench/days/__init__.py
@@ -1,1 +1,1 @@
-"""Days of our own for the users' bench: troubles that its standard days lack."""
+"""Additional days for the users' benchmark, with faults that its own days lack."""
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -1,4 +1,7 @@
-"""What many daemons cost each other and the store, in simulated time (`make model`)."""
+"""Load of many daemons on each other and on the store (`make model`).
+
+The daemons run in simulated time.
+"""
 
 import logging
 import random
@@ -6,7 +9,7 @@
 import sys
 import time
 
-from bench.model import Fleet, Storm
+from bench.model import Fleet, QueryOfDeath
 
 SIZES = (13, 30, 100, 300, 1000)
 SEED = 1
@@ -15,11 +18,11 @@
 START_S = 10.0
 CALM_S = 20.0
 CHANGES = 5
-# A request that ends targets: how often it comes, for how long, and what else a target
-# has in hand.
-STORM_PER_S = 3
-STORM_S = 5.0
-OTHERS = 8
+# A request that crashes targets: arrivals per second, duration in seconds, and number
+# of other requests in flight at a target.
+QUERY_PER_S = 3
+QUERY_S = 5.0
+OTHERS_IN_FLIGHT = 8
 COLUMNS = (
     "daemons",
     "zones",
@@ -31,8 +34,8 @@
     "members known",
     "seconds to all, mean",
     "longest",
-    "ends under a request that ends targets",
-    "seconds from the third to the last",
+    "crashes under a request that crashes targets",
+    "seconds from the third crash to the last",
     "seconds to all after 55 % were killed",
     "lasted s",
 )
@@ -40,7 +43,7 @@
 
 def main() -> None:
     """Print a row for each size."""
-    # Each daemon of the model would tell of each block.
+    # Otherwise each daemon of the model would log each block.
     logging.disable(logging.WARNING)
     sizes = [int(text) for text in sys.argv[1:]] or SIZES
     print("| " + " | ".join(COLUMNS) + " |")
@@ -50,7 +53,7 @@
 
 
 def _row(size):
-    began = time.monotonic()
+    started_at = time.monotonic()
     zones = 3 if size < 30 else 5 if size < 1000 else 14
     fleet = Fleet(size, zones, SEED)
     for number in range(TARGETS):
@@ -62,11 +65,11 @@
     fleet.run(CALM_S)
     calm = fleet.store.calls
     rates = [n / CALM_S / size for n in (fleet.messages, *_near_and_far(fleet))]
-    known = [len(d.cluster.membership.others()) for d in fleet.up()]
-    spread = [_time_to_spread(fleet) for _ in range(CHANGES)]
-    storm = Storm.begin(fleet, STORM_PER_S, STORM_S, others=OTHERS)
-    fleet.run(STORM_S + 1.0)
-    ends = sorted(storm.ends)
+    known_members = [len(d.cluster.membership.others()) for d in fleet.up()]
+    spread_s = [_time_to_spread(fleet) for _ in range(CHANGES)]
+    query = QueryOfDeath.start(fleet, QUERY_PER_S, QUERY_S, others=OTHERS_IN_FLIGHT)
+    fleet.run(QUERY_S + 1.0)
+    crashes = sorted(query.crashes)
     for daemon in random.Random(SEED).sample(fleet.up(), int(0.55 * size)):
         daemon.is_up = False
     after = _time_to_spread(fleet)
@@ -78,13 +81,13 @@
         f"{rates[0]:.1f}",
         f"{rates[1]:.0f}",
         f"{rates[2]:.0f}",
-        f"{min(known)} to {max(known)}",
-        f"{statistics.mean(spread):.2f}",
-        f"{max(spread):.2f}",
-        str(len(ends)),
-        f"{ends[-1] - ends[2]:.2f}",
+        f"{min(known_members)} to {max(known_members)}",
+        f"{statistics.mean(spread_s):.2f}",
+        f"{max(spread_s):.2f}",
+        str(len(crashes)),
+        f"{crashes[-1] - crashes[2]:.2f}",
         f"{after:.2f}",
-        f"{time.monotonic() - began:.0f}",
+        f"{time.monotonic() - started_at:.0f}",
     ]
 
 
@@ -98,7 +101,7 @@
 def _time_to_spread(fleet):
     fleet.store.change("i-0", b"y")
     version = fleet.store.version
-    return fleet.run(30.0, lambda: fleet.all_hold(version))
+    return fleet.run(30.0, lambda: fleet.all_have(version))
 
 
 if __name__ == "__main__":
--- a/bench/forwarder.py
+++ b/bench/forwarder.py
@@ -1,6 +1,6 @@
-"""A bare gevent forwarder without any policy: the baseline of `make overhead`."""
+"""Minimal gevent forwarder without any policy: the baseline of `make overhead`."""
 
-# The patches must come before any module that uses sockets is imported.
+# gevent must patch the standard library before any module that uses sockets loads.
 from gevent import monkey
 
 monkey.patch_all()
@@ -14,11 +14,13 @@
 from cairnferry.wire import Client, Reply, set_no_delay  # noqa: E402
 
 TIMEOUT_S = 5.0
-DROPPED = ("content-length", "connection")
+# Response headers that are not copied: the length is set anew, and the other one
+# applies to a single connection.
+DROPPED_HEADERS = ("content-length", "connection")
 
 
-class Server(WSGIServer):
-    """WSGI server that sends small segments at once."""
+class NoDelayServer(WSGIServer):
+    """WSGI server that sends small segments at once (TCP_NODELAY)."""
 
     def handle(self, sock, address):
         """Serve one connection."""
@@ -27,7 +29,7 @@
 
 
 def main() -> None:
-    """Forward what comes to the targets, in turn: LISTEN TARGET..."""
+    """Forward requests to the targets in turn; the arguments are LISTEN TARGET..."""
     listen, *targets = [parse_address(text) for text in sys.argv[1:]]
     clients = itertools.cycle([Client(t.host, t.port) for t in targets])
 
@@ -44,12 +46,14 @@
         if not isinstance(outcome, Reply):
             start_response("502 Bad Gateway", [("Content-Length", "0")])
             return []
-        kept = [(k, v) for k, v in outcome.headers if k.lower() not in DROPPED]
-        kept.append(("Content-Length", str(len(outcome.body))))
-        start_response(f"{outcome.status} Status", kept)
+        response_headers = [
+            (k, v) for k, v in outcome.headers if k.lower() not in DROPPED_HEADERS
+        ]
+        response_headers.append(("Content-Length", str(len(outcome.body))))
+        start_response(f"{outcome.status} Status", response_headers)
         return [outcome.body]
 
-    Server(listen.as_tuple(), forward, log=None).serve_forever()
+    NoDelayServer(listen.as_tuple(), forward, log=None).serve_forever()
 
 
 if __name__ == "__main__":
--- a/bench/losses.py
+++ b/bench/losses.py
@@ -1,9 +1,10 @@
-"""Tell where the worth of a played day is lost, from the reports of its runs.
+"""Show what lowers the worth of a simulated day, from reports of its runs.
 
     python -m bench.losses REPORT [REPORT ...]
 
-A report is what the users' program prints of one day. The table has a row a class of
-requests and a row a price, in the order of what they cost.
+A report is the output of the users' benchmark program for one day. The worth is the
+program's score of the day. The table has one row for each part of the score, each
+price and each class of requests; within each group the largest loss comes first.
 """
 
 import pathlib
@@ -14,26 +15,29 @@
 
 from bench.model._result import LATE_WORTH
 
-# Prices below this part of a day's worth are left out.
-LEAST_PRICE = 0.002
+# Prices below this share of a full day's worth (1.0) are not shown.
+MIN_PRICE = 0.002
 _PRICE = re.compile(r"^  -(-?\d+\.\d+)  (-?[\d.]+) (.+)$")
 _WORTH = re.compile(r"^worth (-?[\d.]+) = (.*) less prices$")
-_PART = re.compile(r"([a-z ]+) (-?[\d.]+) \(weight ([\d.]+)\)")
+_SCORE_PART = re.compile(r"([a-z ]+) (-?[\d.]+) \(weight ([\d.]+)\)")
 _COUNTS = ("asked", "in_aim", "late", "refused", "failed")
 
 
 @attrs.frozen
 class ClassLoss:
-    """What a class of requests lost.
+    """Loss of one class of requests.
 
     Attributes
     ----------
     name : str
-        The class.
-    asked, in_aim, late, refused, failed : int
-        Requests, and how they fared.
+        Name of the class.
+    asked : int
+        Number of requests.
+    in_aim, late, refused, failed : int
+        Number of requests by outcome: answered in time, answered late, refused, or
+        failed.
     p50_ms : float
-        Median time to the answer in milliseconds.
+        Median time to the response in milliseconds.
     """
 
     name: str
@@ -45,25 +49,25 @@
     p50_ms: float
 
     @property
-    def lost(self) -> float:
-        """Worth lost by the class, in requests."""
+    def lost_worth(self) -> float:
+        """Worth lost by the class, in requests answered in time."""
         return (1 - LATE_WORTH) * self.late + self.refused + self.failed
 
 
 @attrs.frozen
 class DayLoss:
-    """What a day lost.
+    """Losses of one day.
 
     Attributes
     ----------
     worth : float
-        What is left of 1.
+        Worth of the day; 1 is a day without losses.
     parts : dict of str to float
-        Worth lost by each part of the measure, by its weight.
+        Worth lost by each part of the score, weighted.
     prices : dict of str to float
-        Worth paid.
+        Worth deducted for each price, such as machine time or traffic.
     classes : tuple of ClassLoss
-        The classes of requests.
+        Losses by class of requests.
     """
 
     worth: float
@@ -73,35 +77,45 @@
 
 
 class NoReport(ValueError):
-    """A text that is no report of a day."""
+    """Raised if a text is not the report of a day."""
 
 
-def read(report: str) -> DayLoss:
-    """Read a report.
+def parse_report(report: str) -> DayLoss:
+    """Parse the report of one day.
+
+    Parameters
+    ----------
+    report : str
+        Output of the users' benchmark program.
+
+    Returns
+    -------
+    DayLoss
+        Losses of the day.
 
     Raises
     ------
     NoReport
-        If it has no line that tells the day's worth.
+        If the report has no line with the day's worth.
     """
     worth, parts, prices = None, {}, {}
     for line in report.splitlines():
-        if found := _WORTH.match(line):
-            worth = float(found.group(1))
+        if match := _WORTH.match(line):
+            worth = float(match.group(1))
             parts = {
                 name.strip(): (1 - float(share)) * float(weight)
-                for name, share, weight in _PART.findall(found.group(2))
+                for name, share, weight in _SCORE_PART.findall(match.group(2))
             }
-        elif found := _PRICE.match(line):
-            prices[found.group(3)] = float(found.group(1))
+        elif match := _PRICE.match(line):
+            prices[match.group(3)] = float(match.group(1))
     if worth is None:
-        raise NoReport("no line tells the day's worth")
-    return DayLoss(worth, parts, prices, tuple(_classes(report)))
+        raise NoReport("the report has no line with the day's worth")
+    return DayLoss(worth, parts, prices, tuple(_parse_classes(report)))
 
 
-def _classes(report):
-    _, _, table = report.partition("\nclass  ")
-    for line in table.splitlines()[1:]:
+def _parse_classes(report):
+    _, _, rows = report.partition("\nclass  ")
+    for line in rows.splitlines()[1:]:
         cells = line.split()
         if len(cells) < 9:
             return
@@ -109,36 +123,46 @@
         yield ClassLoss(cells[0], **counts, p50_ms=float(cells[-2]))
 
 
-def table(loss: DayLoss) -> list[str]:
-    """Write a day's losses as lines of a table."""
+def format_table(loss: DayLoss) -> list[str]:
+    """Return the rows of a Markdown table of a day's losses."""
     rows = [f"| worth | {loss.worth:.3f} | |"]
-    rows += [f"| {name} | -{lost:.3f} | |" for name, lost in _sorted(loss.parts)]
     rows += [
-        f"| price: {name} | -{paid:.3f} | |"
-        for name, paid in _sorted(loss.prices)
-        if paid >= LEAST_PRICE
+        f"| {name} | -{lost:.3f} | |" for name, lost in _sorted_by_size(loss.parts)
+    ]
+    rows += [
+        f"| price: {name} | -{price:.3f} | |"
+        for name, price in _sorted_by_size(loss.prices)
+        if price >= MIN_PRICE
     ]
-    for each in sorted(loss.classes, key=lambda each: -each.lost):
-        share = each.lost / max(1, each.asked)
-        cause = f"late {each.late}, refused {each.refused}, failed {each.failed}"
-        of = f"of {each.asked}, p50 {each.p50_ms:.0f} ms"
-        rows.append(f"| class {each.name} | -{share:.3f} of its own | {cause} {of} |")
+    for class_loss in sorted(
+        loss.classes, key=lambda class_loss: -class_loss.lost_worth
+    ):
+        share = class_loss.lost_worth / max(1, class_loss.asked)
+        counts = (
+            f"late {class_loss.late}, refused {class_loss.refused}, "
+            f"failed {class_loss.failed}"
+        )
+        details = f"of {class_loss.asked}, p50 {class_loss.p50_ms:.0f} ms"
+        rows.append(
+            f"| class {class_loss.name} | -{share:.3f} of its own | "
+            f"{counts} {details} |"
+        )
     return rows
 
 
-def _sorted(figures):
+def _sorted_by_size(figures):
     return sorted(figures.items(), key=lambda item: -item[1])
 
 
 def main() -> int:
-    """Print the table of each report; give the exit code."""
+    """Print the table of each report; return the exit code."""
     if len(sys.argv) < 2:
         print(__doc__, file=sys.stderr)
         return 2
     for name in sys.argv[1:]:
         path = pathlib.Path(name)
         try:
-            rows = table(read(path.read_text()))
+            rows = format_table(parse_report(path.read_text()))
         except (NoReport, OSError) as exc:
             print(f"{path.name}: {exc}", file=sys.stderr)
             return 1
--- a/bench/model/__init__.py
+++ b/bench/model/__init__.py
@@ -1,17 +1,17 @@
-"""Model of one service in simulated time, to compare policies in seconds.
+"""Model of one service in simulated time, to compare policies within seconds.
 
-No simulator of machines or networks: targets have slots, a pace that shifts, a short
-queue, shedding, reports and status checks; callers have deadlines and retries. Each
-instance drives a `ServicePolicy` of its own, as the daemon does.
+The model doesn't simulate machines or networks. Its targets have slots, a varying
+speed, a short queue, load shedding, load reports and status checks; its callers have
+deadlines and retries. Each instance drives its own `ServicePolicy`, as the daemon does.
 """
 
-from bench.model._disruptions import DisruptedWorld, excess_of_repeats
+from bench.model._disruptions import DisruptedWorld, excess_retries
+from bench.model._dissemination import Dissemination, TransferOptions
 from bench.model._fleet import Fleet
+from bench.model._limited_service import LimitableTarget, LimitedService
 from bench.model._loads import LOADS, SITES, Load, Site
-from bench.model._need import Need, NeedyTarget
+from bench.model._query_of_death import QueryOfDeath
 from bench.model._result import Outcome, Result
-from bench.model._spread import Spread, Way
-from bench.model._storm import Storm
 from bench.model._world import World, play
 
 __all__ = [
@@ -20,15 +20,15 @@
     "LOADS",
     "SITES",
     "Load",
-    "Need",
-    "NeedyTarget",
+    "LimitedService",
+    "LimitableTarget",
     "Outcome",
     "Result",
     "Site",
-    "Spread",
-    "Storm",
-    "Way",
+    "Dissemination",
+    "QueryOfDeath",
+    "TransferOptions",
     "World",
-    "excess_of_repeats",
+    "excess_retries",
     "play",
 ]
--- a/bench/model/__main__.py
+++ b/bench/model/__main__.py
@@ -1,4 +1,4 @@
-"""Compare policies over load patterns and print a table (`make model`)."""
+"""Compare policies over load patterns, and print a table (`make model`)."""
 
 import sys
 
@@ -11,7 +11,7 @@
 
 
 def main() -> None:
-    """Print the table."""
+    """Print a row for each load pattern and strategy."""
     print("| " + " | ".join(COLUMNS.split(",")) + " |")
     print("| " + " | ".join("---" for _ in COLUMNS.split(",")) + " |")
     chosen = sys.argv[1:] or STRATEGIES
@@ -29,7 +29,7 @@
     cells += [f"{mean(lambda r, o=o: r.share(o)):.3f}" for o in Outcome]
     cells += [f"{1000 * mean(lambda r, q=q: r.quantile(q)):.0f}" for q in (0.5, 0.99)]
     cells.append(f"{mean(lambda r: r.checks / r.callers):.1f}")
-    cells.append(f"{mean(lambda r: r.repeats / r.callers):.3f}")
+    cells.append(f"{mean(lambda r: r.retries / r.callers):.3f}")
     return "| " + " | ".join(cells) + " |"
 
 
--- a/bench/model/_fleet.py
+++ b/bench/model/_fleet.py
@@ -1,7 +1,7 @@
-"""Model of many daemons in simulated time: members, news of a table, who watches.
+"""Model of many daemons in simulated time: membership, table updates, store watchers.
 
-The parts are the daemon's own (`Cluster`, `Gossip`, `WatcherRole`, `TableReplica`);
-calls go straight from one to the other, and the clock is the model's.
+It uses components of the daemon: `Cluster`, `Gossip`, `WatcherRole` and `TableReplica`.
+Calls between daemons are direct function calls, and time is simulated.
 """
 
 import collections
@@ -27,7 +27,7 @@
     stamp,
     version_of,
 )
-from cairnferry.entry.callers import CrashGuard, quarantine_board
+from cairnferry.entry.callers import CrashGuard, quarantine_note_registry
 from cairnferry.entry.members import Cluster, Gossip, PermitIssuers, WatcherRole
 from cairnferry.entry.members._cluster import ListedInstance
 from cairnferry.entry.members._watcher_role import SETTLE_S
@@ -36,33 +36,33 @@
     LocalPermitIssuer,
     PermitRequester,
     Services,
-    limit_board,
+    limit_note_registry,
 )
 from cairnferry.entry.targets._permits import ROUND_S as PERMIT_ROUND_S
 from cairnferry.entry.telemetry import Metrics
 from cairnferry.peers import PeerCallFailed
 from cairnferry.peers._messages import (
-    given_to_wire,
-    news_to_wire,
-    to_wire,
-    wanted_to_wire,
+    heartbeat_to_wire,
+    permit_query_to_wire,
+    permit_reply_to_wire,
+    table_update_to_wire,
 )
 from cairnferry.policy import settings_for
 
 ROUND_S = 0.5
 FANOUT = 2
-# Seconds between two looks of a daemon at its duty, and longest wait of a watcher's
-# call.
-LOOK_S = 0.15
-WAIT_S = 5.6
-# Seconds between two calls that fail.
+# Mean seconds between two checks of a daemon whether it watches the store, and longest
+# wait of a watcher's call.
+POLL_S = 0.15
+LONG_POLL_S = 5.6
+# Seconds between two calls to the store that fail.
 RETRY_S = 1.0
 TABLE = "targets"
 
 
 @attrs.define
 class Store:
-    """The platform's table: versions, an era, and a count of calls."""
+    """The platform's table, with versions, an era, and a count of calls."""
 
     rows: dict[str, Row] = attrs.field(factory=dict)
     number: int = 0
@@ -72,20 +72,20 @@
 
     @property
     def version(self) -> int:
-        """Stamp of the newest version."""
+        """Stamp of the latest version."""
         return stamp(self.era, self.number)
 
     def change(self, key: str, value: bytes | None) -> None:
-        """Write or remove a row."""
+        """Write a row, or remove it if the value is None."""
         self.number += 1
         self.rows[key] = Row(key, value, self.version)
 
     def copy(self) -> tuple[dict[str, Row], int]:
-        """Give a copy of all that there is."""
+        """Return a copy of all rows, and its version number."""
         return dict(self.rows), self.number
 
-    def come_back(self, copy: tuple[dict[str, Row], int]) -> None:
-        """Come back from a copy: what was written since is gone."""
+    def restore_from(self, copy: tuple[dict[str, Row], int]) -> None:
+        """Restore the table from a copy without later writes; a new era begins."""
         rows, self.number = copy
         self.era += 1
         self.rows = {
@@ -94,23 +94,23 @@
         }
 
     def since(self, version: int) -> Batch:
-        """Give what has changed; all there is, if the version is of an earlier era."""
+        """Return the changes since a version; all rows if it is of an earlier era."""
         changed = [row for row in self.rows.values() if row.version > version]
         return Batch(tuple(sorted(changed, key=lambda r: r.version)), self.version)
 
 
 @attrs.define
-class SharedCopy:
-    """A copy that notes when it got which version."""
+class SharedReplica:
+    """A table replica with the interface that `Gossip` uses."""
 
     copy: TableReplica = attrs.field(factory=TableReplica)
     grace_left: float = 0.0
 
     def hold_for(self, seconds: float) -> None:
-        """Hold nothing: no outage of writers is modelled."""
+        """Do nothing, as the model has no outage of writers."""
 
     def apply_update(self, news) -> bool:
-        """Take in what another daemon told."""
+        """Apply an update of another daemon."""
         return self.copy.apply_update(news)
 
 
@@ -121,36 +121,57 @@
 
 @attrs.define(eq=False)
 class Daemon:
-    """One daemon of the model."""
+    """One daemon of the model.
+
+    Attributes
+    ----------
+    is_up : bool
+        Whether it runs.
+    is_isolated : bool
+        Whether it can reach no other daemon.
+    side : int
+        Side of a network partition; it only reaches daemons of the same side.
+    refused : bool
+        Whether the store refuses its calls.
+    store_called_at : float
+        Time in seconds of its last call to the store.
+    """
 
     name: str
     zone: str
     cluster: Cluster
     gossip: Gossip
     duty: WatcherRole
-    table: SharedCopy
+    table: SharedReplica
     guard: CrashGuard
     services: Services
     limiter: Limiter
     permits: PermitRequester
     is_up: bool = True
-    is_cut: bool = False
+    is_isolated: bool = False
     side: int = 0
     refused: bool = False
-    called_at: float = 0.0
+    store_called_at: float = 0.0
 
 
 class Fleet:
-    """Daemons in zones, a store, and what happens to them.
+    """Daemons in zones, a store, and the queue of future events.
 
     Parameters
     ----------
     size, zones : int
-        Daemons, and availability zones.
+        Numbers of daemons and of availability zones.
     seed : int
-        Seed of all choices.
+        Seed of all random choices.
     loss : float, optional
-        Share of calls between daemons that fail.
+        Share of calls between daemons that fail, 0 to 1.
+
+    Attributes
+    ----------
+    bytes : Counter
+        Bytes of calls by kind, and by "near" or "far" for the zones.
+    messages : int
+        Number of calls.
     """
 
     def __init__(self, size: int, zones: int, seed: int, loss: float = 0.0):
@@ -164,44 +185,47 @@
         self._serial = 0
         with self._clock():
             self.daemons = {
-                d.name: d for d in (self._make(i, zones) for i in range(size))
+                d.name: d for d in (self._create_daemon(i, zones) for i in range(size))
             }
-            self._introduce()
+            self._register_addresses()
         for daemon in self.daemons.values():
             self.after(self.rng.random() * ROUND_S, self._round, daemon)
-            self.after(self.rng.random() * LOOK_S, self._look, daemon)
-            self.after(self.rng.random() * LOOK_S, self._ask_permits, daemon)
+            self.after(self.rng.random() * POLL_S, self._poll_store, daemon)
+            self.after(self.rng.random() * POLL_S, self._request_permits, daemon)
 
     def _clock(self):
         return mock.patch("time.monotonic", lambda: self.now)
 
-    def _make(self, index, zones):
+    def _create_daemon(self, index, zones):
         zone = f"z{index % zones}"
         name = f"{zone}-{index}"
         me = Member(name, zone, f"{name}:1", f"{name}:2", 1, MemberState.ALIVE)
         membership = Membership(me, random.Random(self.rng.random()))
-        cluster = Cluster(membership, _Rules(), NoteRegistry(_ignore), lambda: 1.0)
-        table = SharedCopy()
+        cluster = Cluster(membership, _Rules(), NoteRegistry(_ignore_note), lambda: 1.0)
+        table = SharedReplica()
         cluster.tables = {TABLE: table}
         gossip = Gossip(cluster, None, self, ROUND_S, FANOUT, ())
         duty = WatcherRole(cluster)
         duty.is_ready = True
-        guard = CrashGuard(Metrics(), partial(_accuse, cluster, gossip))
-        cluster.suspicions = quarantine_board(guard.receive)
+        guard = CrashGuard(Metrics(), partial(_post_suspicion, cluster, gossip))
+        cluster.suspicions = quarantine_note_registry(guard.receive)
         services = Services(zone, self.rng, _ignore_policy, settings_for("ask-first"))
-        tell = partial(_tell_limit, cluster, gossip)
+        tell = partial(_post_limit, cluster, gossip)
         limiter = Limiter(services.limits, Metrics(), tell)
-        cluster.limits = limit_board(limiter.receive)
-        givers = PermitIssuers(cluster)
-        issuer = LocalPermitIssuer(limiter, givers, self.rng)
+        cluster.limits = limit_note_registry(limiter.receive)
+        issuers = PermitIssuers(cluster)
+        issuer = LocalPermitIssuer(limiter, issuers, self.rng)
         gossip.permits = issuer.issue
-        permits = PermitRequester(name, services, limiter, givers, issuer, self)
+        permits = PermitRequester(name, services, limiter, issuers, issuer, self)
         return Daemon(
             name, zone, cluster, gossip, duty, table, guard, services, limiter, permits
         )
 
-    def _introduce(self):
-        """Tell each the addresses of all, as the registry does; none is known yet."""
+    def _register_addresses(self):
+        """Give each daemon the addresses of all others, as the platform's list does.
+
+        No daemon knows another one as a member yet.
+        """
         zones = {f"{d.name}:1": d.zone for d in self.daemons.values()}
         listed = {
             d.name: ListedInstance(d.zone, False, f"{d.name}:1")
@@ -211,7 +235,7 @@
             mine = f"{daemon.name}:1"
             daemon.gossip.listed_peers = {a: z for a, z in zones.items() if a != mine}
             daemon.cluster.listed = listed
-            # The first ones asked the store themselves, as seeds do.
+            # The first daemons read the store themselves, as seeds do.
             if int(daemon.name.partition("-")[2]) >= 3:
                 daemon.duty.joined_at = 0.0
                 daemon.gossip.cross_zone_after = SETTLE_S
@@ -219,13 +243,13 @@
     # -- time ---------------------------------------------------------------------
 
     def after(self, delay: float, action, *args) -> None:
-        """Do something some seconds later."""
+        """Schedule an action after some seconds."""
         self._serial += 1
         event = (self.now + delay, self._serial, action, args)
         heapq.heappush(self._events, event)
 
     def run(self, seconds: float, until=None) -> float:
-        """Let time pass; end early once a condition holds. Give the seconds passed."""
+        """Run for some seconds or until a condition is met; return the seconds run."""
         begin, end = self.now, self.now + seconds
         with self._clock():
             while self._events and self._events[0][0] <= end:
@@ -240,32 +264,32 @@
         if daemon.is_up:
             daemon.gossip.one_round()
             daemon.gossip._calls.join()
-            # What a daemon that was called fetches runs in tasks of its own.
+            # Fetches of a daemon that was called run in their own greenlets.
             gevent.sleep(0)
         hurries = daemon.gossip._round_due.is_set()
         daemon.gossip._round_due.clear()
         self.after(0.02 if hurries else ROUND_S, self._round, daemon)
 
-    def _ask_permits(self, daemon):
+    def _request_permits(self, daemon):
         if daemon.is_up and daemon.limiter.is_needed.is_set():
             daemon.permits.one_round()
             daemon.permits._calls.join()
-        self.after(PERMIT_ROUND_S, self._ask_permits, daemon)
+        self.after(PERMIT_ROUND_S, self._request_permits, daemon)
 
-    def _look(self, daemon):
-        """Watch the store, if that is this daemon's duty."""
-        self.after(LOOK_S * (0.5 + self.rng.random()), self._look, daemon)
+    def _poll_store(self, daemon):
+        """Poll the store, if this daemon is a watcher."""
+        self.after(POLL_S * (0.5 + self.rng.random()), self._poll_store, daemon)
         if not daemon.is_up or not daemon.duty.is_active():
             return
         copy = daemon.table.copy
-        serves = self.store.is_up and not daemon.refused
-        is_new = serves and self.store.version > copy.version
-        pause = WAIT_S if serves else RETRY_S
-        if not is_new and self.now - daemon.called_at < pause:
+        is_served = self.store.is_up and not daemon.refused
+        is_new = is_served and self.store.version > copy.version
+        interval = LONG_POLL_S if is_served else RETRY_S
+        if not is_new and self.now - daemon.store_called_at < interval:
             return
         self.store.calls += 1
-        daemon.called_at = self.now
-        if not serves:
+        daemon.store_called_at = self.now
+        if not is_served:
             daemon.duty.report_store_failure()
             daemon.gossip.trigger_round()
             return
@@ -277,80 +301,94 @@
 
     # -- calls between daemons ------------------------------------------------------
 
-    def to(self, address: str, is_far: bool = False) -> "Call":
-        """Give the link to a daemon, as `PeerLinks` does."""
-        return Call(self, self.daemons[address.partition(":")[0]], is_far)
+    def link_to(self, address: str, is_cross_zone: bool = False) -> "ModelLink":
+        """Return the link to a daemon, as `PeerLinks` does."""
+        return ModelLink(self, self.daemons[address.partition(":")[0]], is_cross_zone)
 
     def close_unused(self, since: float) -> None:
-        """Keep no connections."""
+        """Do nothing, as the model has no connections."""
 
-    def carry(self, kind, daemon, is_far, question, answer):
+    def count_bytes(self, kind, daemon, is_cross_zone, request, response):
         """Count the bytes of a call."""
-        size = sum(_size(message) for message in (question, answer) if message)
-        self.bytes[kind, "far" if is_far else "near"] += size
+        size = sum(_size(message) for message in (request, response) if message)
+        self.bytes[kind, "far" if is_cross_zone else "near"] += size
         self.messages += 1
 
-    # -- what is looked at ------------------------------------------------------------
+    # -- state for tests --------------------------------------------------------------
 
     def up(self) -> list[Daemon]:
-        """List the daemons that run."""
+        """Return the daemons that run."""
         return [daemon for daemon in self.daemons.values() if daemon.is_up]
 
     def is_watching(self, daemon: Daemon) -> bool:
-        """Tell whether a daemon watches the store."""
+        """Return whether a daemon watches the store."""
         with self._clock():
             return daemon.duty.is_active_at(self.now)
 
     def watchers(self) -> dict[str, int]:
-        """Count those that watch, by zone."""
+        """Return the number of watchers by zone."""
         watching = (daemon for daemon in self.up() if self.is_watching(daemon))
         return collections.Counter(daemon.zone for daemon in watching)
 
-    def all_hold(self, version: int) -> bool:
-        """Tell whether all that can hear of it hold a version of the table."""
-        hearing = [daemon for daemon in self.up() if not daemon.is_cut]
-        return all(daemon.table.copy.version >= version for daemon in hearing)
+    def all_have(self, version: int) -> bool:
+        """Return whether all reachable daemons have a version of the table."""
+        reachable = [daemon for daemon in self.up() if not daemon.is_isolated]
+        return all(daemon.table.copy.version >= version for daemon in reachable)
 
 
 @attrs.frozen
-class Call:
-    """Calls to one daemon, which may be lost."""
+class ModelLink:
+    """Link to one daemon, whose calls may fail."""
 
     fleet: Fleet
     daemon: Daemon
-    is_far: bool
+    is_cross_zone: bool
 
     def heartbeat(self, mine):
         """Exchange heartbeats."""
-        self._reach(mine.sender.name)
+        self._check_reachable(mine.sender.name)
         theirs = self.daemon.gossip.heartbeat(mine)
-        self.fleet.carry(
-            "heartbeat", self.daemon, self.is_far, to_wire(mine), to_wire(theirs)
+        self.fleet.count_bytes(
+            "heartbeat",
+            self.daemon,
+            self.is_cross_zone,
+            heartbeat_to_wire(mine),
+            heartbeat_to_wire(theirs),
         )
         return theirs
 
     def news_since(self, table, version):
-        """Fetch what is new in a table."""
-        self._reach(None)
+        """Fetch the changes of a table since a version."""
+        self._check_reachable(None)
         news = self.daemon.gossip.news_since(table, version)
-        self.fleet.carry("news", self.daemon, self.is_far, None, news_to_wire(news))
+        self.fleet.count_bytes(
+            "news", self.daemon, self.is_cross_zone, None, table_update_to_wire(news)
+        )
         return news
 
-    def ask_permits(self, asker, wanted):
-        """Ask for permits to send to limited targets."""
-        self._reach(asker)
+    def request_permits(self, asker, wanted):
+        """Request permits for limited targets."""
+        self._check_reachable(asker)
         given = self.daemon.gossip.issue_permits(asker, list(wanted))
-        for message in map(wanted_to_wire, wanted):
-            self.fleet.carry("permits", self.daemon, self.is_far, message, None)
-        for message in map(given_to_wire, given):
-            self.fleet.carry("permits", self.daemon, self.is_far, None, message)
+        for message in map(permit_query_to_wire, wanted):
+            self.fleet.count_bytes(
+                "permits", self.daemon, self.is_cross_zone, message, None
+            )
+        for message in map(permit_reply_to_wire, given):
+            self.fleet.count_bytes(
+                "permits", self.daemon, self.is_cross_zone, None, message
+            )
         return given
 
-    def _reach(self, caller):
+    def _check_reachable(self, caller):
         fleet = self.fleet
-        cut = self.daemon.is_cut or (caller and fleet.daemons[caller].is_cut)
-        cut = cut or (caller and fleet.daemons[caller].side != self.daemon.side)
-        if not self.daemon.is_up or cut or fleet.rng.random() < fleet.loss:
+        is_unreachable = self.daemon.is_isolated or (
+            caller and fleet.daemons[caller].is_isolated
+        )
+        is_unreachable = is_unreachable or (
+            caller and fleet.daemons[caller].side != self.daemon.side
+        )
+        if not self.daemon.is_up or is_unreachable or fleet.rng.random() < fleet.loss:
             raise PeerCallFailed(self.daemon.name, "model")
 
 
@@ -360,21 +398,21 @@
     return len(buffer.getvalue())
 
 
-def _accuse(cluster, gossip, note, again):
-    """Spread a note on a request, as the daemon's core does."""
+def _post_suspicion(cluster, gossip, note, again):
+    """Post a note on a suspect request, as the daemon's core does."""
     if cluster.post_suspicion(note, again) or again:
         gossip.trigger_round()
 
 
-def _tell_limit(cluster, gossip, note, again):
-    """Spread a note on a limit, as the daemon's core does."""
+def _post_limit(cluster, gossip, note, again):
+    """Post a note on a limit, as the daemon's core does."""
     if cluster.post_limit(note, again) or again:
         gossip.trigger_round()
 
 
-def _ignore(subject, source, until):
-    """Take no notice of a note."""
+def _ignore_note(subject, source, until):
+    """Ignore a note."""
 
 
 def _ignore_policy(policy):
-    """Tell a new policy nothing."""
+    """Ignore a new policy."""
--- a/bench/model/_instance.py
+++ b/bench/model/_instance.py
@@ -1,4 +1,4 @@
-"""One start of an entry instance, and callers that it has taken."""
+"""Entry instances, and the callers that they serve."""
 
 import attrs
 
@@ -8,20 +8,20 @@
 
 @attrs.define(eq=False)
 class Caller:
-    """One caller with its request.
+    """A caller with its request.
 
     Attributes
     ----------
     kind : Kind
-        What it asks for.
-    began : float
+        Kind of the request.
+    started_at : float
         Time in seconds of its first try.
     tries_left : int
-        Times that it may still come back.
+        Number of further tries that it may make.
     """
 
     kind: Kind
-    began: float
+    started_at: float
     tries_left: int
 
 
@@ -32,25 +32,25 @@
     Attributes
     ----------
     policy : ServicePolicy
-        Its decisions.
+        Policy of the instance.
     zone : str
         Availability zone.
-    place : float
-        Where among those of its zone it stands, 0 to 1.
+    ring_position : float
+        Position among the instances of its zone, 0 to 1.
     is_up : bool
         Whether its process has not been killed.
-    held_until : float
-        Time in seconds up to which its process does not run.
-    open : dict of Call to Caller
-        Requests that it has taken and not ended.
+    paused_until : float
+        Time in seconds until which its process does not run.
+    open_requests : dict of Call to Caller
+        Requests accepted and not yet finished.
     waiting : dict of Call to Caller
-        Those of them that wait for room.
+        Open requests that wait for capacity.
     """
 
     policy: ServicePolicy
     zone: str
-    place: float
+    ring_position: float
     is_up: bool = True
-    held_until: float = 0.0
-    open: dict = attrs.field(factory=dict)
+    paused_until: float = 0.0
+    open_requests: dict = attrs.field(factory=dict)
     waiting: dict = attrs.field(factory=dict)
--- a/bench/model/_need.py
+++ b/bench/model/_limited_service.py
@@ -1,4 +1,4 @@
-"""Targets that name limits or are cold, at many daemons in simulated time."""
+"""Targets that advertise limits or are cold, with many daemons in simulated time."""
 
 import attrs
 
@@ -16,7 +16,7 @@
 from cairnferry.records import Lifecycle, Priority, Route, Service, Target
 from cairnferry.wire import Reply
 
-# Requests a second that a cold target takes.
+# Requests per second that a cold target tolerates.
 COLD_PER_S = 3.1
 SERVICE = Service(
     "s",
@@ -35,19 +35,19 @@
 
 
 @attrs.define
-class NeedyTarget:
-    """A target that may name a limit or be cold, and what it got.
+class LimitableTarget:
+    """A target that may advertise a limit or be cold, and the requests that it got.
 
     Attributes
     ----------
     record : Target
-        Its record.
+        Record of the target.
     limit : float
-        What it names; `NO_LIMIT` for none.
+        Requests per second that it advertises; `NO_LIMIT` for none.
     cold_until : float
-        Time in seconds to which it is cold.
+        Time in seconds until which it is cold.
     arrivals : list of float
-        Times in seconds at which requests came.
+        Times in seconds at which requests arrived.
     in_use : int
         Requests that it runs.
     """
@@ -59,38 +59,59 @@
     in_use: int = 0
 
     def warmup_s(self, now: float) -> float:
-        """Give the seconds for which it is still cold."""
+        """Return the seconds for which the target is still cold."""
         return max(0.0, self.cold_until - now)
 
-    def between(self, first: float, last: float) -> int:
-        """Count what came in a span of time."""
+    def arrivals_between(self, first: float, last: float) -> int:
+        """Return the number of requests that arrived between two times in seconds."""
         return sum(first <= at < last for at in self.arrivals)
 
 
 @attrs.define
-class Need:
-    """Requests at all daemons of a fleet, for targets of which some name limits.
+class LimitedService:
+    """A service with limited targets, and its requests at all daemons of a fleet.
 
     Parameters
     ----------
     fleet : Fleet
         The daemons.
-    targets : dict of str to NeedyTarget
-        By name.
+    targets : dict of str to LimitableTarget
+        Targets by name.
+
+    Attributes
+    ----------
+    served : int
+        Number of requests answered.
+    refused : list of Call
+        Requests refused.
     """
 
     fleet: Fleet
-    targets: dict[str, NeedyTarget]
+    targets: dict[str, LimitableTarget]
     served: int = 0
     refused: list[Call] = attrs.field(factory=list)
 
     @classmethod
-    def begin(
+    def start(
         cls, fleet: Fleet, zones: int, count: int, per_s: float, seconds: float
-    ) -> "Need":
-        """Let requests come, so many a second at each daemon."""
+    ) -> "LimitedService":
+        """Start a service with `per_s` requests per second at each daemon.
+
+        Parameters
+        ----------
+        fleet : Fleet
+            The daemons.
+        zones, count : int
+            Numbers of availability zones and of targets.
+        per_s : float
+            Requests per second at each daemon.
+        seconds : float
+            Seconds for which requests arrive.
+        """
         records = [_record(number, zones) for number in range(count)]
-        need = cls(fleet, {record.name: NeedyTarget(record) for record in records})
+        service = cls(
+            fleet, {record.name: LimitableTarget(record) for record in records}
+        )
         with fleet._clock():
             for daemon in fleet.daemons.values():
                 daemon.services.install_rules(1, [SERVICE], [ROUTE])
@@ -98,25 +119,25 @@
                 daemon.services.runtime("s")
         for daemon in fleet.daemons.values():
             for _ in range(round(per_s * seconds)):
-                fleet.after(fleet.rng.random() * seconds, need.arrive, daemon)
-        return need
+                fleet.after(fleet.rng.random() * seconds, service.arrive, daemon)
+        return service
 
     def arrive(self, daemon: Daemon) -> None:
-        """Let a request come to a daemon."""
+        """Handle a request that arrives at a daemon."""
         if not daemon.is_up:
             return
         now = self.fleet.now
         call = Call(now, now + 1.0, True, objective=now + 0.4, route="r")
         policy = daemon.services.runtime("s").policy
-        self._act_on(daemon, call, policy.arrive(call, now))
+        self._apply_decision(daemon, call, policy.arrive(call, now))
 
-    def _go_on(self, daemon, call):
-        """Go on with a request that was let wait."""
+    def _resume(self, daemon, call):
+        """Resume a request after a pause."""
         if daemon.is_up:
             policy = daemon.services.runtime("s").policy
-            self._act_on(daemon, call, policy.resume(call, self.fleet.now))
+            self._apply_decision(daemon, call, policy.resume(call, self.fleet.now))
 
-    def _act_on(self, daemon, call, decision):
+    def _apply_decision(self, daemon, call, decision):
         now = self.fleet.now
         policy = daemon.services.runtime("s").policy
         while isinstance(decision, CheckStatus):
@@ -129,24 +150,26 @@
             decision = policy.resume(call, now)
         match decision:
             case Send(attempt):
-                self._run(daemon, attempt)
+                self._run_request(daemon, attempt)
             case Pause(seconds):
-                self.fleet.after(seconds, self._go_on, daemon, call)
+                self.fleet.after(seconds, self._resume, daemon, call)
             case _:
                 self.refused.append(call)
 
-    def _run(self, daemon, attempt):
+    def _run_request(self, daemon, attempt):
         target = self.targets[attempt.target.name]
         target.arrivals.append(self.fleet.now)
         target.in_use += 1
-        self.fleet.after(RUN_S, self._end, daemon, attempt, target)
+        self.fleet.after(RUN_S, self._finish_request, daemon, attempt, target)
 
-    def _end(self, daemon, attempt, target):
+    def _finish_request(self, daemon, attempt, target):
         target.in_use -= 1
         if not daemon.is_up:
             return
-        named = target.limit
-        headers = [] if named == NO_LIMIT else [("Server-Limit", f"{named:g}")]
+        advertised = target.limit
+        headers = (
+            [] if advertised == NO_LIMIT else [("Server-Limit", f"{advertised:g}")]
+        )
         daemon.limiter.note_outcome(
             attempt, Reply(200, headers, b""), DefaultTargetConvention()
         )
--- a/bench/model/_loads.py
+++ b/bench/model/_loads.py
@@ -1,4 +1,4 @@
-"""Load patterns that policies are compared over."""
+"""Load patterns and sites for the comparison of policies."""
 
 import math
 
@@ -9,22 +9,22 @@
 
 @attrs.frozen
 class Kind:
-    """Requests that are alike.
+    """A kind of request.
 
     Attributes
     ----------
     name : str
         Name of the route.
     share : float
-        Part of all requests.
+        Share of all requests, 0 to 1.
     work : float
-        Mean seconds of work at an idle target of usual pace.
+        Mean seconds of work at an idle target of usual speed.
     objective, deadline : float
-        Seconds.
+        Objective and deadline of the response time in seconds.
     idempotent : bool
-        Whether it may run twice.
+        Whether the request may run twice.
     rank : int
-        0 goes first.
+        Rank in priority; 0 is served first.
     """
 
     name: str
@@ -50,20 +50,20 @@
     Attributes
     ----------
     targets, instances, zones : int
-        How many there are.
+        Numbers of targets, entry instances and availability zones.
     slots, queue : int
-        Requests that a target runs, and that wait there.
+        Maximum number of requests that a target runs, and that wait there.
     kinds : tuple of Kind
-        What callers ask for.
+        Kinds of requests.
     far_s : float
-        Seconds one way between zones.
+        Latency in seconds one way between zones.
     rate : float
-        Requests a second at which about half of the slots are in use; the rates of
-        loads are parts of it.
+        Requests per second at which about half of the slots are in use. The rates of
+        loads are multiples of it.
     noise : Noise
-        Neighbours of the targets.
+        Effect of other workloads on the targets' machines.
     retry_slack : float
-        Further attempts that all instances may make in a window beyond a share of the
+        Retries that all instances may make in a window in addition to a share of the
         requests.
     """
 
@@ -80,7 +80,7 @@
 
 
 SIX_SLOTS = Site(targets=20, slots=6, queue=12, rate=320.0, kinds=KINDS)
-# Few slots and little work, so that one slot is half of a target.
+# Few slots and little work: one slot is half of a target's capacity.
 TWO_SLOTS = Site(
     targets=11,
     slots=2,
@@ -92,7 +92,7 @@
     far_s=0.0014,
     retry_slack=56.0,
 )
-# Sizes that no deployment has, to see whether a constant fits one alone.
+# Sizes of no real deployment. They show whether a constant fits only some sizes.
 ONE_ZONE = Site(
     targets=12,
     slots=1,
@@ -130,36 +130,36 @@
     Attributes
     ----------
     rate : float
-        Requests a second, as a part of the site's.
+        Requests per second, as a multiple of the site's rate.
     burst : float
-        Factor in the middle third of the time.
+        Factor of the rate in the middle third of the time.
     swing : float
-        Part by which the rate swings in a wave of 11 s.
+        Relative amplitude of the rate in a wave of 11 s.
     retries : int
-        Times that a caller tries again.
-    at_once : bool
-        Whether callers come back without waiting.
+        Number of retries of a caller.
+    retry_at_once : bool
+        Whether callers retry without a delay.
     slow, failing, leaving : float
-        Parts of the targets that are five times slower, fail half of their requests
-        at once, or leave in the middle third.
+        Shares of the targets that are five times slower, that fail half of their
+        requests at once, and that are draining in the middle third.
     """
 
     rate: float = 0.6
     burst: float = 1.0
     swing: float = 0.15
     retries: int = 1
-    at_once: bool = False
+    retry_at_once: bool = False
     slow: float = 0.0
     failing: float = 0.0
     leaving: float = 0.0
 
     def rate_at(self, now: float, length: float) -> float:
-        """Give the requests at a time, as a part of the site's rate."""
+        """Return the request rate at a time, as a multiple of the site's rate."""
         rate = self.rate * (1 + self.swing * math.sin(2 * math.pi * now / 11))
         return rate * self.burst if self.in_middle(now, length) else rate
 
     def in_middle(self, now: float, length: float) -> bool:
-        """Tell whether a time lies in the middle third."""
+        """Return whether a time lies in the middle third."""
         return length / 3 <= now < 2 * length / 3
 
 
@@ -167,7 +167,7 @@
     "steady": Load(swing=0.0),
     "wave": Load(rate=1.0, swing=0.4),
     "burst": Load(rate=1.0, burst=2.2),
-    "retry storm": Load(rate=1.0, burst=2.0, retries=3, at_once=True),
+    "retry storm": Load(rate=1.0, burst=2.0, retries=3, retry_at_once=True),
     "slow targets": Load(rate=0.8, slow=0.2),
     "grey targets": Load(rate=0.8, failing=0.2),
     "scale-in": Load(rate=1.0, leaving=0.3),
--- a/bench/model/_result.py
+++ b/bench/model/_result.py
@@ -1,21 +1,21 @@
-"""What came of a load under a policy, and what that is worth."""
+"""Result of a load under a policy, and its worth."""
 
 import enum
 
 import attrs
 
-# Parts of what an answer in time is worth: for a check, and for a check or a request
-# that goes to another zone and back. By the users' prices, with some 300 bytes for a
-# check and 2 KB for a request and its answer.
+# Costs of a check, and of a check or a request to another zone and back, as a share of
+# the worth of a response in time. They follow from the users' prices, with some 300
+# bytes for a check and 2 KB for a request and its response.
 CHECK_PRICE = 0.0032
 FAR_CHECK_PRICE = 0.012
 FAR_REQUEST_PRICE = 0.08
-# What a late answer is worth, on the users' sheets.
+# Worth of a late response as a share of one in time, as the users rate it.
 LATE_WORTH = 0.1
 
 
 class Outcome(enum.Enum):
-    """How a caller fared."""
+    """Outcome of a caller's request, with its retries."""
 
     IN_TIME = "in time"
     LATE = "late"
@@ -25,21 +25,21 @@
 
 @attrs.define
 class Result:
-    """What came of a load under a policy.
+    """Result of a load under a policy.
 
     Attributes
     ----------
     outcomes : dict of Outcome to int
-        Callers.
+        Number of callers by outcome.
     times : list of float
-        Seconds to the answers.
-    checks, attempts, repeats : int
-        Sent to targets.
+        Response times in seconds.
+    checks, attempts, retries : int
+        Numbers of status checks, attempts and retries sent to targets.
     far_checks, far_attempts : int
-        Those of them that went to another zone.
-    requests, further : list of float
-        Times at which callers sent requests, and at which attempts beyond the first of
-        a request reached a target.
+        Status checks and attempts that went to another zone.
+    requests, extra_arrivals : list of float
+        Times in seconds at which callers sent requests, and at which attempts beyond
+        the first of a request reached a target.
     """
 
     outcomes: dict[Outcome, int] = attrs.field(
@@ -48,33 +48,33 @@
     times: list[float] = attrs.field(factory=list)
     checks: int = 0
     attempts: int = 0
-    repeats: int = 0
+    retries: int = 0
     far_checks: int = 0
     far_attempts: int = 0
     requests: list[float] = attrs.field(factory=list)
-    further: list[float] = attrs.field(factory=list)
+    extra_arrivals: list[float] = attrs.field(factory=list)
 
     @property
     def worth(self) -> float:
-        """What the answers are worth to a caller, less what they cost."""
+        """Mean worth of the responses to a caller, minus their cost."""
         late = LATE_WORTH * self.share(Outcome.LATE)
-        price = (
+        cost = (
             CHECK_PRICE * self.checks
             + FAR_CHECK_PRICE * self.far_checks
             + FAR_REQUEST_PRICE * self.far_attempts
         )
-        return self.share(Outcome.IN_TIME) + late - price / max(1, self.callers)
+        return self.share(Outcome.IN_TIME) + late - cost / max(1, self.callers)
 
     @property
     def callers(self) -> int:
-        """Callers in all."""
+        """Total number of callers."""
         return sum(self.outcomes.values())
 
     def share(self, outcome: Outcome) -> float:
-        """Give the part of the callers that fared so."""
+        """Return the share of the callers with an outcome."""
         return self.outcomes[outcome] / max(1, self.callers)
 
-    def quantile(self, part: float) -> float:
-        """Give the seconds within which a part of the answers came."""
+    def quantile(self, share_below: float) -> float:
+        """Return the seconds within which a share of the responses arrived."""
         ordered = sorted(self.times)
-        return ordered[int(part * (len(ordered) - 1))] if ordered else 0.0
+        return ordered[int(share_below * (len(ordered) - 1))] if ordered else 0.0
--- a/bench/model/_target.py
+++ b/bench/model/_target.py
@@ -1,4 +1,4 @@
-"""A target whose machine has busy neighbours."""
+"""Model of a target whose machine runs other workloads."""
 
 import random
 from collections import deque
@@ -8,24 +8,24 @@
 
 from cairnferry.policy import LoadReport
 
-# Share of slots in use from which a request that begins takes longer, and how much
-# longer. Those that run already are not slowed.
+# Share of slots in use above which a starting request takes longer, and the factor.
+# Requests that already run are not slowed.
 KNEE = 0.8
 KNEE_FACTOR = 1.7
 
 
 @attrs.frozen
 class Noise:
-    """Neighbours of targets on their machines.
+    """Effect of other workloads on the targets' machines.
 
     Attributes
     ----------
     share : float
-        Part of the targets that are slowed.
+        Share of the targets that are slowed at a time.
     factor : float
-        By how much.
+        Factor by which their work takes longer.
     seconds : float
-        For how long.
+        Seconds after which a target's speed is drawn anew.
     """
 
     share: float = 0.25
@@ -39,44 +39,50 @@
 
     Attributes
     ----------
-    left : float
-        Seconds of work left at the usual pace.
+    work_left : float
+        Seconds of work left at the usual speed.
     deadline : float
-        Time in seconds at which the target stops.
+        Time in seconds at which the target stops the work.
     done : callable
-        Called with whether the work was done.
+        Called with whether the work succeeded.
+    is_cancelled : bool
+        Whether the request was cancelled.
     """
 
-    left: float
+    work_left: float
     deadline: float
     done: Callable[[bool], None]
-    cut: bool = False
+    is_cancelled: bool = False
 
 
 @attrs.define(eq=False)
 class ModelTarget:
-    """A target.
+    """A target with slots and a queue.
 
     Parameters
     ----------
     name, zone : str
-        Names.
+        Names of the target and of its availability zone.
     clock : Clock
         Simulated time.
     rng : random.Random
         Source of randomness.
     slots, queue : int
-        Requests that it runs at the same time, and that wait for these.
+        Maximum number of requests that it runs at a time, and that wait for a slot.
     noise : Noise
-        Its neighbours.
+        Effect of other workloads on its machine.
 
     Attributes
     ----------
     slow : float
-        How many times longer its work takes.
+        Permanent factor by which its work takes longer.
+    slowdown : float
+        Present factor by which other workloads slow its work.
     failing, shedding, losing : float
-        Parts of the requests that fail, are refused whatever room there is, or run
-        and lose their answer.
+        Shares of the requests that fail, that are refused at any load, and that run
+        and lose their response.
+    refused : int
+        Number of refused requests.
     """
 
     name: str
@@ -90,74 +96,76 @@
     failing: float = 0.0
     shedding: float = 0.0
     losing: float = 0.0
-    pace: float = 1.0
+    slowdown: float = 1.0
     refused: int = 0
     _running: list[Job] = attrs.field(factory=list)
-    _held: deque[Job] = attrs.field(factory=deque)
-    _moved_at: float = 0.0
+    _queued: deque[Job] = attrs.field(factory=deque)
+    _advanced_at: float = 0.0
     _version: int = 0
 
     def start(self) -> None:
-        """Let the neighbours come and go."""
-        self._shift()
+        """Start the changes of speed caused by other workloads."""
+        self._change_noise()
 
-    def _shift(self):
-        self._move()
+    def _change_noise(self):
+        self._advance()
         noise = self.noise
-        self.pace = noise.factor if self.rng.random() < noise.share else 1.0
-        self._plan()
-        self.clock.after(noise.seconds, self._shift)
+        self.slowdown = noise.factor if self.rng.random() < noise.share else 1.0
+        self._schedule_wakeup()
+        self.clock.after(noise.seconds, self._change_noise)
 
     def report(self) -> LoadReport:
-        """Give what it says of its load."""
-        return LoadReport(len(self._running) + len(self._held), self.pace * self.slow)
+        """Return the load report of the target."""
+        return LoadReport(
+            len(self._running) + len(self._queued), self.slowdown * self.slow
+        )
 
-    def offer(self, job: Job) -> bool:
-        """Take a request, or refuse it."""
+    def accept(self, job: Job) -> bool:
+        """Accept a request; return False if it is refused."""
         if self.shedding and self.rng.random() < self.shedding:
             self.refused += 1
             return False
         if len(self._running) < self.slots:
-            self._move()
+            self._advance()
             self._begin(job)
-            self._plan()
+            self._schedule_wakeup()
             return True
-        if len(self._held) >= self.queue:
+        if len(self._queued) >= self.queue:
             self.refused += 1
             return False
-        self._held.append(job)
+        self._queued.append(job)
         return True
 
     def cancel(self, job: Job) -> None:
-        """Drop a request that nobody waits for."""
-        job.cut = True
-        self._move()
+        """Cancel a request whose caller no longer waits."""
+        job.is_cancelled = True
+        self._advance()
         self._running = [each for each in self._running if each is not job]
         self._fill()
 
     def _begin(self, job):
         self._running.append(job)
         if len(self._running) / self.slots > KNEE:
-            job.left *= KNEE_FACTOR
+            job.work_left *= KNEE_FACTOR
 
     def _speed(self):
-        return 1 / (self.pace * self.slow)
+        return 1 / (self.slowdown * self.slow)
 
-    def _move(self):
-        """Count down the work up to now."""
+    def _advance(self):
+        """Advance the running work to the present time."""
         now = self.clock.now
-        done = (now - self._moved_at) * self._speed()
+        done = (now - self._advanced_at) * self._speed()
         for job in self._running:
-            job.left -= done
-        self._moved_at = now
+            job.work_left -= done
+        self._advanced_at = now
 
-    def _plan(self):
-        """Come back when the next piece of work is done or its time is up."""
+    def _schedule_wakeup(self):
+        """Schedule the next event: work that is done, or a deadline that expires."""
         self._version += 1
         if not self._running:
             return
         now = self.clock.now
-        first = min(job.left for job in self._running) / self._speed()
+        first = min(job.work_left for job in self._running) / self._speed()
         last = min(job.deadline for job in self._running) - now
         wait = max(0.0, min(first, last))
         version = self._version
@@ -166,18 +174,18 @@
     def _wake(self, version):
         if version != self._version:
             return
-        self._move()
+        self._advance()
         now = self.clock.now
-        ended = [j for j in self._running if j.left <= 1e-6 or j.deadline <= now]
+        ended = [j for j in self._running if j.work_left <= 1e-6 or j.deadline <= now]
         self._running = [job for job in self._running if job not in ended]
         self._fill()
         for job in ended:
-            job.done(job.left <= 1e-6 and self.rng.random() >= self.failing)
+            job.done(job.work_left <= 1e-6 and self.rng.random() >= self.failing)
 
     def _fill(self):
-        while self._held and len(self._running) < self.slots:
-            job = self._held.popleft()
-            if job.cut:
+        while self._queued and len(self._running) < self.slots:
+            job = self._queued.popleft()
+            if job.is_cancelled:
                 continue
             self._begin(job)
-        self._plan()
+        self._schedule_wakeup()
--- a/bench/model/_world.py
+++ b/bench/model/_world.py
@@ -1,4 +1,4 @@
-"""Instances, targets and callers of one service in simulated time."""
+"""Model of instances, targets and callers of one service in simulated time."""
 
 import math
 import random
@@ -25,31 +25,33 @@
 )
 from cairnferry.records import Lifecycle, Service, Target
 
-# Seconds one way between an instance and a target of its zone.
+# Latency in seconds one way between an instance and a target of its zone.
 NEAR_S = 0.0002
-CHECK_S = 0.001
-# Seconds between two looks at waiting requests.
-LOOK_S = 0.004
-SPREAD = 0.3
+# Duration in seconds of a status check within a zone.
+CHECK_DURATION_S = 0.001
+# Seconds between two releases of waiting requests.
+RELEASE_INTERVAL_S = 0.004
+# Standard deviation of the logarithm of the work of a request.
+WORK_SIGMA = 0.3
 RETRY_RATIO = 0.2
 RETRY_WINDOW_S = 10.0
 
 
 class World:
-    """One service.
+    """One service under load.
 
     Parameters
     ----------
     load : Load
-        What comes.
-    site : Site
-        Where.
+        Load pattern.
     settings : PolicySettings
-        The policy.
+        Settings of the policy.
     seed : int
-        Seed of everything random.
+        Seed of all random choices.
     length : float
-        Seconds.
+        Duration of the load in seconds.
+    site : Site, optional
+        Machines and requests of the service.
     """
 
     def __init__(
@@ -67,7 +69,7 @@
         self.load = load
         self.length = length
         self.result = Result()
-        self._seeks = settings.seek is not None
+        self._checks_status = settings.status_checks is not None
         self.service = Service(
             "s",
             1000,
@@ -92,24 +94,26 @@
         self.settings = settings
         in_zone = math.ceil(site.instances / len(self._zones))
         self.instances = [
-            self._start(self._zone(index), index // len(self._zones) / in_zone)
+            self._create_instance(
+                self._zone(index), index // len(self._zones) / in_zone
+            )
             for index in range(site.instances)
         ]
-        self._hurt()
+        self._apply_load_faults()
 
     def _zone(self, index):
         return self._zones[index % len(self._zones)]
 
-    def _start(self, zone, place):
+    def _create_instance(self, zone, ring_position):
         policy = ServicePolicy(self.service, zone, self.rng, self.settings)
-        return Instance(policy, zone, place)
+        return Instance(policy, zone, ring_position)
 
     def _is_far(self, instance, target_name):
         return self.targets[target_name].zone != instance.zone
 
-    # -- setting -----------------------------------------------------------------
+    # -- setup -------------------------------------------------------------------
 
-    def _hurt(self):
+    def _apply_load_faults(self):
         names = list(self.targets)
         for target in self.targets.values():
             target.start()
@@ -118,14 +122,14 @@
         for name in names[: int(self.load.failing * len(names))]:
             self.targets[name].failing = 0.5
         for instance in self.instances:
-            instance.policy.set_instances(len(self.instances), instance.place)
-        self._tell(Lifecycle.ACTIVE)
+            instance.policy.set_instances(len(self.instances), instance.ring_position)
+        self._update_records(Lifecycle.ACTIVE)
         if self.load.leaving:
             third = self.length / 3
-            self.clock.after(third, lambda: self._tell(Lifecycle.DRAINING))
-            self.clock.after(2 * third, lambda: self._tell(Lifecycle.ACTIVE))
+            self.clock.after(third, lambda: self._update_records(Lifecycle.DRAINING))
+            self.clock.after(2 * third, lambda: self._update_records(Lifecycle.ACTIVE))
 
-    def _tell(self, lifecycle):
+    def _update_records(self, lifecycle):
         leaving = int(self.load.leaving * len(self.targets))
         self._records = [
             Target(
@@ -145,10 +149,10 @@
             instance.policy.update(self.service, self._records, self.clock.now)
 
     def run(self) -> Result:
-        """Play the load."""
+        """Run the load, and return its result."""
         self.clock.after(0.0, self._arrive)
-        if not self._seeks:
-            self.clock.after(LOOK_S, self._look)
+        if not self._checks_status:
+            self.clock.after(RELEASE_INTERVAL_S, self._release_waiting)
         self.clock.run(self.length + 3.0)
         return self.result
 
@@ -162,14 +166,14 @@
         self.clock.after(self.rng.expovariate(rate), self._arrive)
         kinds = self.site.kinds
         (kind,) = self.rng.choices(kinds, [kind.share for kind in kinds])
-        self._try(Caller(kind, now, self.load.retries))
+        self._send_request(Caller(kind, now, self.load.retries))
 
-    def _try(self, caller):
+    def _send_request(self, caller):
         now = self.clock.now
         kind = caller.kind
         call = Call(
             arrived=now,
-            deadline=caller.began + kind.deadline,
+            deadline=caller.started_at + kind.deadline,
             idempotent=kind.idempotent,
             max_attempts=2,
             objective=now + kind.objective,
@@ -179,55 +183,55 @@
         self.result.requests.append(now)
         up = [instance for instance in self.instances if instance.is_up]
         if not up:
-            self._come_back(caller, 0.0, Outcome.FAILED)
+            self._retry_later(caller, 0.0, Outcome.FAILED)
             return
         instance = self.rng.choice(up)
-        instance.open[call] = caller
-        self._when_it_runs(instance, lambda: self._arrived(instance, caller, call))
+        instance.open_requests[call] = caller
+        self._when_running(instance, lambda: self._arrived(instance, caller, call))
 
     def _arrived(self, instance, caller, call):
         decision = instance.policy.arrive(call, self.clock.now)
-        self._do(instance, caller, call, decision)
+        self._apply_decision(instance, caller, call, decision)
 
-    def _end(self, caller, decision):
+    def _finish_call(self, caller, decision):
         now = self.clock.now
         match decision:
             case Relay():
-                taken = now - caller.began
-                in_time = taken <= caller.kind.objective
+                elapsed = now - caller.started_at
+                in_time = elapsed <= caller.kind.objective
                 self._count(caller, Outcome.IN_TIME if in_time else Outcome.LATE)
-                self.result.times.append(taken)
+                self.result.times.append(elapsed)
             case Refuse(retry_after=after):
-                self._come_back(caller, after, Outcome.REFUSED)
+                self._retry_later(caller, after, Outcome.REFUSED)
             case GiveUp():
                 if caller.kind.idempotent:
-                    self._come_back(caller, 0.0, Outcome.FAILED)
+                    self._retry_later(caller, 0.0, Outcome.FAILED)
                 else:
                     self._count(caller, Outcome.FAILED)
 
-    def _come_back(self, caller, after, outcome):
-        left = caller.began + caller.kind.deadline - self.clock.now
+    def _retry_later(self, caller, after, outcome):
+        left = caller.started_at + caller.kind.deadline - self.clock.now
         if caller.tries_left == 0 or left <= 0.02:
             self._count(caller, outcome)
             return
         caller.tries_left -= 1
-        wait = 0.0 if self.load.at_once else min(after, left / 3)
-        self.clock.after(wait + 0.004, lambda: self._try(caller))
+        wait = 0.0 if self.load.retry_at_once else min(after, left / 3)
+        self.clock.after(wait + 0.004, lambda: self._send_request(caller))
 
     def _count(self, caller, outcome):
         self.result.outcomes[outcome] += 1
 
     # -- instances -----------------------------------------------------------------
 
-    def _when_it_runs(self, instance, event):
-        """Let an instance do something once its process runs, unless it is gone."""
-        wait = instance.held_until - self.clock.now
+    def _when_running(self, instance, event):
+        """Run an event at an instance once its process is not paused, unless killed."""
+        wait = instance.paused_until - self.clock.now
         if wait > 0:
-            self.clock.after(wait, lambda: self._when_it_runs(instance, event))
+            self.clock.after(wait, lambda: self._when_running(instance, event))
         elif instance.is_up:
             event()
 
-    def _do(self, instance, caller, call, decision):
+    def _apply_decision(self, instance, caller, call, decision):
         match decision:
             case Send(attempt):
                 self._send(instance, caller, attempt)
@@ -238,8 +242,8 @@
             case AwaitOthers():
                 pass
             case _:
-                del instance.open[call]
-                self._end(caller, decision)
+                del instance.open_requests[call]
+                self._finish_call(caller, decision)
 
     def _ask(self, instance, caller, call, records):
         policy = instance.policy
@@ -247,59 +251,61 @@
         self.result.checks += len(records)
         self.result.far_checks += far
 
-        def hear():
+        def deliver():
             now = self.clock.now
             for record in records:
                 report = self.targets[record.name].report()
                 policy.note_check(record.name, report, True, now)
-            self._do(instance, caller, call, policy.resume(call, now))
+            self._apply_decision(instance, caller, call, policy.resume(call, now))
 
-        wait = CHECK_S + 2 * self.site.far_s * bool(far)
-        self.clock.after(wait, lambda: self._when_it_runs(instance, hear))
+        wait = CHECK_DURATION_S + 2 * self.site.far_s * bool(far)
+        self.clock.after(wait, lambda: self._when_running(instance, deliver))
 
     def _send(self, instance, caller, attempt):
         target = self.targets[attempt.target_name]
-        way = NEAR_S
+        one_way_s = NEAR_S
         if self._is_far(instance, attempt.target_name):
             self.result.far_attempts += 1
-            way = self.site.far_s
+            one_way_s = self.site.far_s
         self.result.attempts += 1
         is_further = len(attempt.call.attempts) > 1
-        self.result.repeats += is_further
-        work = caller.kind.work * self.rng.lognormvariate(-(SPREAD**2) / 2, SPREAD)
+        self.result.retries += is_further
+        work = caller.kind.work * self.rng.lognormvariate(
+            -(WORK_SIGMA**2) / 2, WORK_SIGMA
+        )
 
-        def done(good):
-            result = Answered(failed=not good, report=target.report())
+        def done(succeeded):
+            result = Answered(failed=not succeeded, report=target.report())
             if target.losing and self.rng.random() < target.losing:
                 result = Lost()
-            self._hear(instance, caller, attempt, result, way)
+            self._deliver_result(instance, caller, attempt, result, one_way_s)
 
-        def reach():
+        def arrive():
             if is_further:
-                self.result.further.append(self.clock.now)
-            if not target.offer(Job(work, attempt.call.deadline, done)):
+                self.result.extra_arrivals.append(self.clock.now)
+            if not target.accept(Job(work, attempt.call.deadline, done)):
                 refused = TargetRefused(report=target.report())
-                self._hear(instance, caller, attempt, refused, way)
+                self._deliver_result(instance, caller, attempt, refused, one_way_s)
 
-        self.clock.after(way, reach)
+        self.clock.after(one_way_s, arrive)
 
-    def _hear(self, instance, caller, attempt, result, way):
-        def hear():
+    def _deliver_result(self, instance, caller, attempt, result, one_way_s):
+        def deliver():
             self._finished(instance, caller, attempt, result)
 
-        self.clock.after(way, lambda: self._when_it_runs(instance, hear))
+        self.clock.after(one_way_s, lambda: self._when_running(instance, deliver))
 
     def _finished(self, instance, caller, attempt, result):
         decision = instance.policy.finished(attempt, result, self.clock.now)
-        self._do(instance, caller, attempt.call, decision)
+        self._apply_decision(instance, caller, attempt.call, decision)
         self._release(instance)
 
-    def _look(self):
+    def _release_waiting(self):
         for instance in self.instances:
-            if instance.is_up and instance.held_until <= self.clock.now:
+            if instance.is_up and instance.paused_until <= self.clock.now:
                 self._release(instance)
         if self.clock.now < self.length + 2:
-            self.clock.after(LOOK_S, self._look)
+            self.clock.after(RELEASE_INTERVAL_S, self._release_waiting)
 
     def _release(self, instance):
         waiting = instance.waiting
@@ -308,7 +314,7 @@
         for call, decision in instance.policy.release(self.clock.now):
             caller = waiting.pop(call, None)
             if caller is not None:
-                self._do(instance, caller, call, decision)
+                self._apply_decision(instance, caller, call, decision)
 
 
 def play(
@@ -318,5 +324,5 @@
     length: float = 12.0,
     site: Site = SIX_SLOTS,
 ) -> Result:
-    """Play a load under a policy."""
+    """Run a load under a policy, and return the result; parameters as `World`."""
     return World(load, settings, seed, length, site).run()
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -1,10 +1,10 @@
-"""What a daemon adds to a call, against a bare forwarder: `make overhead`.
+"""Measure the latency that a daemon adds to a request: `make overhead`.
 
-The same open-loop load goes to the targets directly, through the bare forwarder
-and through one daemon, in turn and repeated.
+The same open-loop load goes directly to the targets, through the minimal forwarder of
+`bench.forwarder`, and through one daemon, in turn and several times.
 """
 
-# The patches must come before any module that uses sockets is imported.
+# gevent must patch the standard library before any module that uses sockets loads.
 from gevent import monkey
 
 monkey.patch_all()
@@ -21,31 +21,33 @@
 from cairnferry.standins import LocalSystem, free_port, wait_for  # noqa: E402
 from cairnferry.wire import Client, Reply  # noqa: E402
 
+# Requests a second.
 RATES = (100, 300, 600)
-SECONDS = 5
+# Seconds of load in each run, and runs for each rate and path.
+LOAD_S = 5
 REPEATS = 3
 US_PER_MS = 1000
 
 
 def main() -> int:
-    """Measure and print a table."""
+    """Measure all paths and print a table."""
     size = Size("small", targets=4, slots=8, service_ms=2.0)
     with tempfile.TemporaryDirectory() as folder:
         with LocalSystem(pathlib.Path(folder)) as system:
             bench = Bench(system, size)
             bench.start_targets()
             bench.start_group("load-aware", 1)
-            bench.serve()
+            bench.configure()
             targets = [t.addresses["http"] for t in system.targets.values()]
             forwarder, address = _start_forwarder(targets)
             try:
                 daemon = system.daemons["load-aware-0"].addresses["callers"]
-                ways = {
+                paths = {
                     "direct": ",".join(targets),
                     "forwarder": address,
                     "daemon": daemon,
                 }
-                _measure(system, ways)
+                _measure(system, paths)
             finally:
                 forwarder.kill()
                 forwarder.wait()
@@ -62,33 +64,34 @@
     return process, address
 
 
-def _measure(system, ways):
+def _measure(system, paths):
     print("| requests/s | way | p50 ms | p99 ms | added p50 | added p99 |")
     print("| --- | --- | --- | --- | --- | --- |")
     for rate in RATES:
-        runs = {way: [] for way in ways}
+        runs = {path: [] for path in paths}
         for repeat in range(REPEATS):
-            for way, entries in ways.items():
-                runs[way].append(_run(system, entries, rate, repeat))
-        medians = {way: _medians(found) for way, found in runs.items()}
-        for way, (p50, p99) in medians.items():
+            for path, entries in paths.items():
+                runs[path].append(_run_load(system, entries, rate, repeat))
+        medians = {path: _medians(latencies) for path, latencies in runs.items()}
+        for path, (p50, p99) in medians.items():
             added50 = p50 - medians["direct"][0]
             added99 = p99 - medians["direct"][1]
             print(
-                f"| {rate} | {way} | {p50:.2f} | {p99:.2f} | {added50:.2f} | "
+                f"| {rate} | {path} | {p50:.2f} | {p99:.2f} | {added50:.2f} | "
                 f"{added99:.2f} |",
                 flush=True,
             )
 
 
-def _run(system, entries, rate, seed):
+def _run_load(system, entries, rate, seed):
+    """Return the 50th and 99th percentile of the latency, in milliseconds."""
     load = system.start_load(
         system.folder / "outcomes.json",
         entries=entries,
         service=SERVICE,
         operations=f"GET /{SERVICE}/x",
         rate=rate,
-        seconds=SECONDS,
+        seconds=LOAD_S,
         seed=seed + 1,
         steer="no",
     )
--- a/bench/propagation.py
+++ b/bench/propagation.py
@@ -1,11 +1,12 @@
-"""How long news takes to reach every daemon: `make propagation`.
+"""Measure how long updates take to reach every daemon: `make propagation`.
 
-Measures, over 16 daemons in 4 availability zones: from the answer "accepted"
-to a change's being in force at each daemon, and from a target's first sign of leaving
-to each daemon's knowing it. The clock of one machine serves all processes.
+With 16 daemons in 4 availability zones, measures two times: from the response
+"accepted" until a change is in effect at all daemons, and from the first sign that a
+target is leaving until all daemons list it as draining. All processes use the clock of
+one machine.
 """
 
-# The patches must come before any module that uses sockets is imported.
+# gevent must patch the standard library before any module that uses sockets loads.
 from gevent import monkey
 
 monkey.patch_all()
@@ -26,7 +27,8 @@
 DAEMONS = 16
 ZONES = ("zone-a", "zone-b", "zone-c", "zone-d")
 CHANGES = 20
-LOOK_S = 0.005
+POLL_INTERVAL_S = 0.005
+# Faults of the platform stand-in, by the text of the table's row.
 FAULTS = {
     "platform well": {},
     "platform slow, 300 ms a call": {"delay_ms": 300},
@@ -34,7 +36,7 @@
 
 
 def main() -> int:
-    """Measure and print a table."""
+    """Measure changes and drains, and print a table."""
     size = Size("small", targets=16, slots=4, service_ms=5.0)
     with tempfile.TemporaryDirectory() as folder:
         with LocalSystem(pathlib.Path(folder)) as system:
@@ -42,38 +44,42 @@
             bench.start_targets()
             for index in range(DAEMONS):
                 system.start_daemon(f"e{index:02}", ZONES[index % len(ZONES)])
-            bench.serve()
-            _touch_all(system)
+            bench.configure()
+            _warm_up_daemons(system)
             print("| what | events | median s | longest s |\n| --- | --- | --- | --- |")
             for name, faults in FAULTS.items():
                 system.set_faults(**faults)
-                _print(f"change in force at all, {name}", _changes(system))
+                _print_row(f"change in force at all, {name}", _time_changes(system))
             system.set_faults(delay_ms=0)
             names = list(system.targets)
             half = len(names) // 2
-            # A note outlasts its cause by seconds, so that each way has targets
-            # of its own.
-            seconds = _drains(system, names[:half], _by_health)
-            _print("drain by health answer known to all", seconds)
-            seconds = _drains(system, names[half:], _by_list)
-            _print("drain by the platform's list known to all", seconds)
+            # The daemons' note on a draining target stays valid for seconds after
+            # the target stops draining, so each kind of drain uses other targets.
+            seconds = _time_drains(system, names[:half], _set_health_draining)
+            _print_row("drain by health answer known to all", seconds)
+            seconds = _time_drains(system, names[half:], _set_listed_leaving)
+            _print_row("drain by the platform's list known to all", seconds)
     return 0
 
 
-def _touch_all(system):
-    """Send one request through each daemon, so that each holds the service."""
+def _warm_up_daemons(system):
+    """Send a request through each daemon until it succeeds.
+
+    Each daemon then holds the state of the service.
+    """
     for daemon in system.daemons.values():
         wait_for(lambda d=daemon: d.call("callers", "GET", f"/{SERVICE}").status == 200)
 
 
-def _print(name, seconds):
+def _print_row(name, seconds):
     median = statistics.median(seconds)
     print(
         f"| {name} | {len(seconds)} | {median:.2f} | {max(seconds):.2f} |", flush=True
     )
 
 
-def _changes(system):
+def _time_changes(system):
+    """Return, for each change, the seconds until it is in effect at all daemons."""
     daemons = list(system.daemons.values())
     seconds = []
     for number in range(CHANGES):
@@ -85,51 +91,55 @@
             "expected_revision": entry["revision"],
         }
         change = {"change_id": f"c{time.time_ns()}", "edits": [edit]}
-        at = daemons[number % DAEMONS]
-        outcome = at.call("operators", "POST", "/v1/changes", change)
+        receiver = daemons[number % DAEMONS]
+        outcome = receiver.call("operators", "POST", "/v1/changes", change)
         accepted = time.monotonic()
         revision = json.loads(outcome.body)["revision"]
-        waits = [gevent.spawn(_until_revision, system, d, revision) for d in daemons]
-        seconds.append(max(wait.get() for wait in waits) - accepted)
+        waiters = [
+            gevent.spawn(_wait_for_revision, system, d, revision) for d in daemons
+        ]
+        seconds.append(max(waiter.get() for waiter in waiters) - accepted)
     return seconds
 
 
-def _drains(system, names, begin):
+def _time_drains(system, names, set_draining):
+    """Return, for each target, the seconds until all daemons list it as draining."""
     seconds = []
     for name in names:
         started = time.monotonic()
-        begin(system, name, True)
-        waits = [
-            gevent.spawn(_until, lambda d=d, n=name: _knows(d, n))
+        set_draining(system, name, True)
+        waiters = [
+            gevent.spawn(_wait_until, lambda d=d, n=name: _is_marked_draining(d, n))
             for d in system.daemons.values()
         ]
-        seconds.append(max(wait.get() for wait in waits) - started)
-        begin(system, name, False)
+        seconds.append(max(waiter.get() for waiter in waiters) - started)
+        set_draining(system, name, False)
     return seconds
 
 
-def _by_health(system, name, on):
+def _set_health_draining(system, name, on):
     system.set_target(name, draining=on)
 
 
-def _by_list(system, name, on):
+def _set_listed_leaving(system, name, on):
     (system.leaving.add if on else system.leaving.discard)(name)
     system.publish_instances()
 
 
-def _knows(daemon, target):
+def _is_marked_draining(daemon, target):
     document = daemon.read("operators", "/v1/dump")
     states = document["services"][SERVICE]["targets"]
     return any(state["name"] == target and state["draining"] for state in states)
 
 
-def _until_revision(system, daemon, revision):
-    return _until(lambda: system.revision_of(daemon) >= revision)
+def _wait_for_revision(system, daemon, revision):
+    return _wait_until(lambda: system.revision_of(daemon) >= revision)
 
 
-def _until(condition):
+def _wait_until(condition):
+    """Wait until a condition holds; return the time, on the monotonic clock."""
     while not condition():
-        gevent.sleep(LOOK_S)
+        gevent.sleep(POLL_INTERVAL_S)
     return time.monotonic()
 
 
--- a/bench/report.py
+++ b/bench/report.py
@@ -1,12 +1,13 @@
-"""Tables and plots of the benchmark's results."""
+"""Tables and plots of the results of the benchmark."""
 
 import pathlib
 import statistics
 
 import pygal
 
-from bench.runner import LOST_MS
+from bench.runner import UNANSWERED_MS
 
+# Key in the results, title of the column and format of the value.
 COLUMNS = (
     ("p50_ms", "p50 ms", "{:.0f}"),
     ("p99_ms", "p99 ms", "{:.0f}"),
@@ -24,45 +25,53 @@
 
 
 def write_report(results: list[dict], folder: pathlib.Path) -> None:
-    """Write a table and a plot for each size."""
+    """Write a table and a plot for each size; print the tables.
+
+    Parameters
+    ----------
+    results : list of dict
+        Figures of all runs, as listed in results.json.
+    folder : pathlib.Path
+        Folder that the files are written to.
+    """
     for size in sorted({row["size"] for row in results}):
         rows = [row for row in results if row["size"] == size]
-        table = _table(rows)
+        table = _format_table(rows)
         (folder / f"{size}.md").write_text(table)
         _plot(rows, size).render_to_file(str(folder / f"{size}.svg"))
         print(table)
 
 
-def _table(rows):
-    head = ["case", "strategy", *[title for _, title, _ in COLUMNS]]
-    lines = ["| " + " | ".join(head) + " |", "| --- " * len(head) + "|"]
-    for case, strategy in _keys(rows):
+def _format_table(rows):
+    titles = ["case", "strategy", *[title for _, title, _ in COLUMNS]]
+    lines = ["| " + " | ".join(titles) + " |", "| --- " * len(titles) + "|"]
+    for case, strategy in _cases_and_strategies(rows):
         cells = [case, strategy]
-        chosen = _chosen(rows, case, strategy)
-        cells += [_cell(chosen, key, form) for key, _, form in COLUMNS]
+        selected = _select_rows(rows, case, strategy)
+        cells += [_format_cell(selected, key, fmt) for key, _, fmt in COLUMNS]
         lines.append("| " + " | ".join(cells) + " |")
     return "\n".join(lines) + "\n"
 
 
-def _keys(rows):
+def _cases_and_strategies(rows):
     return list(dict.fromkeys((row["case"], row["strategy"]) for row in rows))
 
 
-def _chosen(rows, case, strategy):
+def _select_rows(rows, case, strategy):
     return [r for r in rows if r["case"] == case and r["strategy"] == strategy]
 
 
-def _cell(rows, key, form):
-    """Give the median of the repeats, and their range if there are several."""
+def _format_cell(rows, key, fmt):
+    """Return the median of the repeats; for the p99, also the range of several."""
     values = [row[key] for row in rows if row[key] is not None]
     if not values:
         return "-"
-    middle = statistics.median(values)
-    if middle == LOST_MS:
+    median = statistics.median(values)
+    if median == UNANSWERED_MS:
         return "lost"
-    text = form.format(middle)
+    text = fmt.format(median)
     if len(values) > 1 and key == "p99_ms":
-        text += f" ({form.format(min(values))} to {form.format(max(values))})"
+        text += f" ({fmt.format(min(values))} to {fmt.format(max(values))})"
     return text
 
 
@@ -80,8 +89,8 @@
     for strategy in dict.fromkeys(row["strategy"] for row in rows):
         values = []
         for case in cases:
-            chosen = _chosen(rows, case, strategy)
-            found = [row["p99_ms"] for row in chosen if row["p99_ms"] is not None]
-            values.append(statistics.median(found) if found else None)
+            selected = _select_rows(rows, case, strategy)
+            measured = [row["p99_ms"] for row in selected if row["p99_ms"] is not None]
+            values.append(statistics.median(measured) if measured else None)
         chart.add(strategy, values)
     return chart
--- a/bench/runner.py
+++ b/bench/runner.py
@@ -1,4 +1,4 @@
-"""Runs a case through a group of daemons and measures it."""
+"""Run a case against a group of daemons and measure it."""
 
 import collections
 import json
@@ -8,7 +8,7 @@
 import attrs
 import gevent
 
-from bench.cases import EVENT_AT_S, HEALTHY, JUDGED_FROM_S, SECONDS
+from bench.cases import EVENT_AT_S, HEALTHY_BEHAVIOUR, MEASURED_FROM_S, RUN_S
 from cairnferry.standins import (
     LocalSystem,
     Process,
@@ -22,20 +22,24 @@
 ARCHIVE_PATH = "/archive"
 DEADLINE_MS = 1000
 ZONES = ("zone-a", "zone-b")
+# Seconds between the reset of the targets and the start of the load.
 SETTLE_S = 0.7
-LOST_MS = 9999.0
+# Latency that stands for requests without a response, in milliseconds.
+UNANSWERED_MS = 9999.0
 
 
 @attrs.define
 class Bench:
-    """Targets, and a group of daemons for each strategy in front of them.
+    """Targets, and one group of daemons for each strategy.
 
     Parameters
     ----------
     system : LocalSystem
-        The processes.
+        System that starts and holds the processes.
     size : Size
-        Targets.
+        Number and capacity of the targets.
+    groups : dict of str to list of Process
+        Daemons by strategy.
     """
 
     system: LocalSystem
@@ -55,7 +59,17 @@
             )
 
     def start_group(self, strategy: str, daemons: int, **settings) -> None:
-        """Start daemons that use a strategy."""
+        """Start daemons that use a strategy.
+
+        Parameters
+        ----------
+        strategy : str
+            Name of the strategy, which is also the name of the group.
+        daemons : int
+            Number of daemons; the availability zones are used in turn.
+        **settings
+            Further settings of the daemons.
+        """
         group = [
             self.system.start_daemon(
                 f"{strategy}-{index}",
@@ -68,8 +82,8 @@
         ]
         self.groups[strategy] = group
 
-    def serve(self) -> None:
-        """Publish everything and submit the records."""
+    def configure(self) -> None:
+        """Publish the instances, wait for the daemons and submit the records."""
         wait_for(lambda: self.system.platform.read("http", "/_control") is not None)
         self.system.publish_instances()
         self.system.await_serving()
@@ -97,26 +111,38 @@
         daemon.call("operators", "POST", "/v1/changes", change)
         self.system.await_revision(1)
 
-    def run(self, case, strategy: str, seed: int, seconds: float = SECONDS) -> dict:
-        """Run a case; give its figures as plain values."""
+    def run(self, case, strategy: str, seed: int, seconds: float = RUN_S) -> dict:
+        """Run a case; return its figures as plain values.
+
+        Parameters
+        ----------
+        case : Case
+            Load and events.
+        strategy : str
+            Strategy of the group of daemons that receives the load.
+        seed : int
+            Seed of the load.
+        seconds : float
+            Duration of the load.
+        """
         for target in self.system.targets.values():
-            target.read("http", "/_control", HEALTHY)
+            target.read("http", "/_control", HEALTHY_BEHAVIOUR)
         gevent.sleep(SETTLE_S)
         group = self.groups[strategy]
         before = self._counters(group)
         loads = self._start_loads(case, group, seed, seconds)
-        events = gevent.spawn(self._play, case)
+        events = gevent.spawn(self._apply_events, case)
         summaries = [json.loads(load.communicate()[0]) for load in loads]
         events.kill()
         after = self._counters(group)
-        paths = [self._timeline(index) for index in range(len(loads))]
-        return figures(case, paths, summaries, before, after, seconds)
+        paths = [self._timeline_path(index) for index in range(len(loads))]
+        return compute_figures(case, paths, summaries, before, after, seconds)
 
-    def _timeline(self, index):
+    def _timeline_path(self, index):
         return self.system.folder / f"timeline-{index}.json"
 
     def _start_loads(self, case, group, seed, seconds):
-        """Start callers in each zone; background ones are a load of their own."""
+        """Start one load in each zone, and a separate one for background requests."""
         rate = case.load * self.size.capacity / len(ZONES)
         loads = []
         for index, zone in enumerate(ZONES):
@@ -146,18 +172,18 @@
             seed=seed,
             prefix=f"l{index}",
             steer="no",
-            timeline=self._timeline(index),
+            timeline=self._timeline_path(index),
         )
 
-    def _play(self, case):
-        start = time.monotonic() + LOAD_START_S
+    def _apply_events(self, case):
+        start = time.monotonic() + LOAD_STARTUP_S
         for event in case.events:
             gevent.sleep(max(0.0, start + event.at - time.monotonic()))
             for target in list(self.system.targets.values())[event.targets]:
                 target.read("http", "/_control", event.behaviour)
 
     def _counters(self, group):
-        """Add up what daemons and targets have counted so far."""
+        """Return the sums of the counters of the daemons and of the targets."""
         total = collections.Counter()
         for daemon in group:
             document = daemon.read("operators", "/v1/dump")
@@ -174,42 +200,63 @@
         return total
 
 
-LOAD_START_S = 0.35
+# Assumed seconds from the start of a load process to its first request.
+LOAD_STARTUP_S = 0.35
+
 
+def compute_figures(case, paths, summaries, before, after, seconds) -> dict:
+    """Compute the figures of a run.
 
-def figures(case, paths, summaries, before, after, seconds) -> dict:
-    """Work out the figures of a run.
+    Latencies and outcomes are those of interactive requests that were due at
+    MEASURED_FROM_S, one second after the events, or later. In a case without events
+    they are those of interactive requests that were due after the warm-up.
+
+    Parameters
+    ----------
+    case : Case
+        Case that was run.
+    paths : list of pathlib.Path
+        Timelines of the loads; the first two are interactive.
+    summaries : list of dict
+        Summaries of the loads.
+    before, after : collections.Counter
+        Counters of daemons and targets before and after the run.
+    seconds : float
+        Duration of the load.
 
-    Latencies are those of requests that were due one second after the events of
-    the case, or after the warm-up, and later.
+    Returns
+    -------
+    dict
+        Figures by name.
     """
-    interactive = [_read(path) for path in paths[:2]]
-    judged_from = JUDGED_FROM_S if case.events else EVENT_AT_S
-    records = [r for part in interactive for r in part if r[0] >= judged_from]
-    good = sorted(elapsed for _, elapsed, told in records if told == "ok")
-    refused = sorted(elapsed for _, elapsed, told in records if told == "not-run")
-    # A request that failed never got its answer. Left out, a strategy that loses
-    # the slow ones would show the shortest tail.
+    interactive = [_read_timeline(path) for path in paths[:2]]
+    measured_from = MEASURED_FROM_S if case.events else EVENT_AT_S
+    records = [r for part in interactive for r in part if r[0] >= measured_from]
+    good = sorted(elapsed for _, elapsed, outcome in records if outcome == "ok")
+    refused = sorted(elapsed for _, elapsed, outcome in records if outcome == "not-run")
+    # A failed request received no response and counts as infinitely slow. If failed
+    # requests were skipped, a strategy that loses slow requests would show the lowest
+    # tail latency.
     failed = len(records) - len(good) - len(refused)
-    answered = good + [math.inf] * failed
+    latencies = good + [math.inf] * failed
     sent = sum(summary["sent"] for summary in summaries)
-    delta = {key: after[key] - before[key] for key in after}
-    attempts = sum(v for k, v in delta.items() if k.startswith("attempts"))
-    seen = {k[5:]: v for k, v in delta.items() if k.startswith("seen")}
+    deltas = {key: after[key] - before[key] for key in after}
+    attempts = sum(v for k, v in deltas.items() if k.startswith("attempts"))
+    seen = {k[5:]: v for k, v in deltas.items() if k.startswith("seen")}
     return {
         "requests": sent,
         "judged": len(records),
-        "p50_ms": _quantile(answered, 0.5),
-        "p99_ms": _quantile(answered, 0.99),
-        "p999_ms": _quantile(answered, 0.999),
-        "goodput": len(good) / (seconds - judged_from),
+        "p50_ms": _quantile_ms(latencies, 0.5),
+        "p99_ms": _quantile_ms(latencies, 0.99),
+        "p999_ms": _quantile_ms(latencies, 0.999),
+        "goodput": len(good) / (seconds - measured_from),
         "failed": failed,
         "refused": len(refused),
-        "refused_p99_ms": _quantile(refused, 0.99),
+        "refused_p99_ms": _quantile_ms(refused, 0.99),
         "attempts": attempts / max(1, sent),
-        "probes": delta["target_probes"] / max(1, sent),
-        "measuring_bytes": delta["measuring_bytes"] / max(1, sent),
-        "cpu_us": delta["cpu_s"] / max(1, sent) * 1e6,
+        "probes": deltas["target_probes"] / max(1, sent),
+        "measuring_bytes": deltas["measuring_bytes"] / max(1, sent),
+        "cpu_us": deltas["cpu_s"] / max(1, sent) * 1e6,
         "first_target_share": seen.get("t00", 0) / max(1, sum(seen.values())),
         "without_retry_after": sum(
             s["given_up_without_retry_after"] for s in summaries
@@ -217,17 +264,18 @@
     }
 
 
-def _read(path):
+def _read_timeline(path):
     return json.loads(path.read_text())
 
 
-def _quantile(values, share):
-    """Give a quantile of sorted seconds, in milliseconds.
+def _quantile_ms(values, share):
+    """Return a quantile of sorted durations, in milliseconds; None without values.
 
-    LOST_MS stands for the time of requests that were never answered.
+    Durations are in seconds. UNANSWERED_MS stands for an infinite one, that is, a
+    request without a response.
     """
     if not values:
         return None
     index = min(len(values) - 1, math.ceil(share * len(values)) - 1)
     value = values[max(0, index)]
-    return LOST_MS if math.isinf(value) else round(value * 1000, 2)
+    return UNANSWERED_MS if math.isinf(value) else round(value * 1000, 2)
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -1,9 +1,10 @@
-"""Show the whole system at work, as separate processes on loopback.
+"""Run the whole system as separate processes on loopback.
 
-Starts the platform's stand-in, targets of two services and four daemons in two
-availability zones; submits records of both schema versions; sends a few thousand
-requests; stops a target and drains a daemon meanwhile; checks that no request
-was lost, crossed or run twice. The exit code is 0 only if all checks hold.
+Starts the stand-in of the platform, targets of two services and four daemons in two
+availability zones. Submits records of both schema versions and sends a few thousand
+requests. Meanwhile, stops a target and drains a daemon. Then checks that no request
+was lost, received the response to another request, or ran twice. The exit code is 0
+only if all checks pass.
 """
 
 import collections
@@ -29,11 +30,14 @@
 DAEMONS = 4
 CATALOGUE_TARGETS = 4
 BOOKING_TARGETS = 4
-RATE = 150
-# Lookups that a caller sends at once on one connection.
-AHEAD = 2
+# Requests a second to each service.
+REQUESTS_PER_S = 150
+# Lookups that a caller pipelines on one connection.
+PIPELINED_REQUESTS = 2
+# Availability zone of the callers of each service.
 CALLER_ZONES = {"catalogue": ZONES[1], "booking": ZONES[0]}
-SECONDS = 14
+# Seconds of load, and from the start of the load to each disturbance.
+LOAD_S = 14
 STOP_TARGET_AT_S = 3
 DRAIN_DAEMON_AT_S = 6
 LOADS = {
@@ -43,17 +47,18 @@
 
 
 def main() -> int:
-    """Run the demo; give the exit code."""
+    """Run the demo; return the exit code."""
     signal.signal(signal.SIGTERM, lambda *_: sys.exit(1))
-    # A shell that starts the demo in the background has it ignore Ctrl-C: its
-    # processes would end and the demo would report their loss as faults.
+    # A shell that starts the demo in the background makes it ignore SIGINT. Without
+    # this handler, Ctrl-C would terminate only the demo's processes, and the demo
+    # would report the lost requests as faults.
     signal.signal(signal.SIGINT, signal.default_int_handler)
     with tempfile.TemporaryDirectory() as folder:
         with LocalSystem(pathlib.Path(folder)) as system:
             try:
                 return _run(system, pathlib.Path(folder))
             except KeyboardInterrupt:
-                print("interrupted; ending all processes")
+                print("interrupted; terminating all processes")
                 return 1
 
 
@@ -61,10 +66,10 @@
     _start(system)
     _submit(system, folder)
     loads = _start_loads(system, folder)
-    _disturb(system)
+    _stop_and_drain(system)
     summaries = {name: json.loads(p.communicate()[0]) for name, p in loads.items()}
-    faults = _check(system, folder)
-    _report(system, summaries, faults)
+    faults = _find_faults(system, folder)
+    _print_report(system, summaries, faults)
     return 1 if faults else 0
 
 
@@ -84,7 +89,7 @@
 
 
 def _submit(system, folder):
-    """Submit the catalogue in schema version 1 and the booking in version 2."""
+    """Submit the catalogue in schema version 1 and the bookings in version 2."""
     old = [
         service_v1("catalogue", timeout_s=1.0),
         route_v1("catalogue", "/catalogue", "catalogue"),
@@ -102,24 +107,30 @@
     for version, records in (("old", old), ("new", new)):
         path = folder / f"{version}.json"
         path.write_text(json.dumps(records))
-        done = system.tool("submit", str(path))
-        print(f"cairnferry submit {version}.json: {done.stdout or done.stderr}", end="")
+        result = system.run_ctl("submit", str(path))
+        print(
+            f"cairnferry submit {version}.json: {result.stdout or result.stderr}",
+            end="",
+        )
     system.await_revision(2)
-    print(system.tool("status", "--wait", "2").stdout, end="")
+    print(system.run_ctl("status", "--wait", "2").stdout, end="")
 
 
 def _start_loads(system, folder):
     entries = ",".join(d.addresses["callers"] for d in system.daemons.values())
-    print(f"sending {2 * RATE} requests a second for {SECONDS} s, {AHEAD} at once")
+    print(
+        f"sending {2 * REQUESTS_PER_S} requests a second for {LOAD_S} s, "
+        f"{PIPELINED_REQUESTS} pipelined"
+    )
     return {
         service: system.start_load(
             folder / f"{service}.outcomes.json",
             entries=entries,
             service=service,
             operations=operations,
-            rate=RATE / AHEAD,
-            ahead=AHEAD,
-            seconds=SECONDS,
+            rate=REQUESTS_PER_S / PIPELINED_REQUESTS,
+            ahead=PIPELINED_REQUESTS,
+            seconds=LOAD_S,
             prefix=service,
             zone=CALLER_ZONES[service],
         )
@@ -127,17 +138,17 @@
     }
 
 
-def _disturb(system):
+def _stop_and_drain(system):
     time.sleep(STOP_TARGET_AT_S)
     print("stopping target film-1")
     system.targets["film-1"].signal(signal.SIGTERM)
     time.sleep(DRAIN_DAEMON_AT_S - STOP_TARGET_AT_S)
     print("draining daemon entry-0")
-    system.tool("drain", daemon=system.daemons["entry-0"])
+    system.run_ctl("drain", daemon=system.daemons["entry-0"])
 
 
-def _check(system, folder):
-    """Compare what callers were told with what targets ran."""
+def _find_faults(system, folder):
+    """Return the faults: compare the outcomes at callers with what targets ran."""
     runs = collections.Counter()
     for name in system.targets:
         for _, method, request_id in system.target_events(name)["ran"]:
@@ -146,26 +157,26 @@
     for service in LOADS:
         outcomes = json.loads((folder / f"{service}.outcomes.json").read_text())
         for request_id, (method, outcome) in outcomes.items():
-            fault = _fault(method, outcome, runs[method, request_id])
+            fault = _find_fault(method, outcome, runs[method, request_id])
             if fault:
                 faults.append(f"{method} {request_id}: {fault}")
     wait_for(lambda: not system.daemons["entry-0"].alive)
     if system.daemons["entry-0"].popen.returncode:
-        faults.append("entry-0 left with requests unanswered")
+        faults.append("entry-0 left with unanswered requests")
     return faults
 
 
-def _fault(method, outcome, count):
+def _find_fault(method, outcome, count):
     if outcome != "ok":
-        return f"the caller was told {outcome}"
+        return f"the caller received the outcome {outcome}"
     if count == 0:
-        return "answered, but it ran nowhere"
+        return "answered, but no target ran it"
     if method == "POST" and count > 1:
         return f"ran {count} times"
     return None
 
 
-def _report(system, summaries, faults):
+def _print_report(system, summaries, faults):
     for service, summary in summaries.items():
         latency = summary["latency_us"]
         print(
@@ -180,7 +191,7 @@
     if faults:
         print(f"{len(faults)} faults")
     else:
-        print("nothing was lost, crossed or run twice")
+        print("no request was lost, mixed up with another, or run twice")
 
 
 if __name__ == "__main__":
--- a/scripts/run_tests.py
+++ b/scripts/run_tests.py
@@ -1,7 +1,7 @@
-"""Run all tests in several processes, each with ports of its own.
+"""Run all tests in several processes, each with its own ports.
 
-pytest-xdist does not work with gevent's patches, so that the processes are started
-here. Every test runs in exactly one of them: the counts are compared.
+pytest-xdist does not work with gevent's patches, so this script starts the processes.
+It compares counts to check that every test ran in exactly one of them.
 """
 
 import collections
@@ -12,53 +12,54 @@
 import tempfile
 import xml.etree.ElementTree as ElementTree
 
-# Half of the processors that tests were measured on; each process starts others.
+# Half the processors of the machine that the tests were timed on, because each test
+# process starts others.
 PROCESSES = 4
 PART_VARIABLE = "CAIRNFERRY_TEST_PART"
 COUNTS = ("tests", "failures", "errors", "skipped")
 KNOWN_RED = pathlib.Path(__file__).parent.parent / "KNOWN-RED.txt"
-# Exit code of pytest where all ran and some failed.
-SOME_FAILED = 1
+# Exit code of pytest if all tests ran and some failed.
+EXIT_TESTS_FAILED = 1
 
 
 def main() -> int:
-    """Run the tests; give the exit code."""
-    total = _collected()
+    """Run the tests; return the exit code."""
+    collected = _count_collected()
     with tempfile.TemporaryDirectory() as folder:
-        parts = [_start(pathlib.Path(folder), index) for index in range(PROCESSES)]
-        codes = [_finish(*part) for part in parts]
-        counts = _count(pathlib.Path(folder))
-        failed = _failed(pathlib.Path(folder))
-    unknown = failed - _known_red()
-    for name in sorted(failed - unknown):
-        print(f"passed over, as KNOWN-RED.txt lists it: {name}")
-    if failed and not unknown:
-        codes = [code for code in codes if code != SOME_FAILED]
-    bad = counts["failures"] + counts["errors"]
-    good = counts["tests"] - bad - counts["skipped"]
-    if counts["tests"] != total:
-        print(f"{total} tests were collected, and {counts['tests']} ran")
-        codes.append(1)
-    print(f"{good} passed, {bad} failed, {counts['skipped']} skipped")
-    return 1 if unknown or any(codes) else 0
-
-
-def _pytest(*options, **more):
+        parts = [_start_part(pathlib.Path(folder), index) for index in range(PROCESSES)]
+        exit_codes = [_wait_and_print(*part) for part in parts]
+        counts = _read_counts(pathlib.Path(folder))
+        failed = _failed_tests(pathlib.Path(folder))
+    unexpected = failed - _known_red_tests()
+    for name in sorted(failed - unexpected):
+        print(f"failure ignored, as KNOWN-RED.txt lists the test: {name}")
+    if failed and not unexpected:
+        exit_codes = [code for code in exit_codes if code != EXIT_TESTS_FAILED]
+    failed_count = counts["failures"] + counts["errors"]
+    passed_count = counts["tests"] - failed_count - counts["skipped"]
+    if counts["tests"] != collected:
+        print(f"{collected} tests were collected, but {counts['tests']} ran")
+        exit_codes.append(1)
+    print(f"{passed_count} passed, {failed_count} failed, {counts['skipped']} skipped")
+    return 1 if unexpected or any(exit_codes) else 0
+
+
+def _start_pytest(*options, **popen_options):
     command = [sys.executable, "-m", "pytest", *sys.argv[1:], *options]
-    return subprocess.Popen(command, text=True, **more)
+    return subprocess.Popen(command, text=True, **popen_options)
 
 
-def _collected():
-    """Count the tests that one process would run."""
-    listing = _pytest("--collect-only", stdout=subprocess.PIPE)
+def _count_collected():
+    """Return the number of tests that a single process would run."""
+    listing = _start_pytest("--collect-only", stdout=subprocess.PIPE)
     output, _ = listing.communicate()
     return sum("::" in line for line in output.splitlines())
 
 
-def _start(folder, index):
+def _start_part(folder, index):
     part = f"{index}/{PROCESSES}"
     output = (folder / f"{index}.txt").open("w+")
-    process = _pytest(
+    process = _start_pytest(
         "--part",
         part,
         f"--junitxml={folder}/{index}.xml",
@@ -69,7 +70,7 @@
     return process, output
 
 
-def _finish(process, output):
+def _wait_and_print(process, output):
     code = process.wait()
     output.seek(0)
     print(output.read(), flush=True)
@@ -77,15 +78,15 @@
     return code
 
 
-def _known_red():
-    """Give the tests that are listed by their whole names."""
+def _known_red_tests():
+    """Return the tests that KNOWN-RED.txt lists by their full names."""
     lines = KNOWN_RED.read_text().splitlines() if KNOWN_RED.exists() else []
     names = (line.split(" ")[0] for line in lines if line.strip())
     return {name for name in names if "::" in name}
 
 
-def _failed(folder):
-    """Give the names of the tests that failed, as pytest takes them."""
+def _failed_tests(folder):
+    """Return the names of the tests that failed, as pytest accepts them."""
     failed = set()
     for file in folder.glob("*.xml"):
         for case in ElementTree.parse(file).getroot().iter("testcase"):
@@ -95,7 +96,8 @@
     return failed
 
 
-def _count(folder):
+def _read_counts(folder):
+    """Return the sums of the counts in the JUnit files of all processes."""
     counts = collections.Counter()
     for file in folder.glob("*.xml"):
         for suite in ElementTree.parse(file).getroot().iter("testsuite"):
--- a/tests/bench/test_days.py
+++ b/tests/bench/test_days.py
@@ -1,10 +1,10 @@
-"""What the runner of own days takes for a day that went wrong."""
+"""Detection of failed days by the runner of the project's own days."""
 
 import tomllib
 
 import pytest
 
-from bench.days.__main__ import FOLDER, find_faults
+from bench.days.__main__ import DAYS_FOLDER, find_faults
 
 GOOD = """\
 day                  own/srv  score  worth served refused failed  weakest part
@@ -28,10 +28,10 @@
         "  -0.0100  2.0 exits of its own",
     ],
 )
-def test_what_went_wrong_is_found(line):
-    """Symptom: a day with a broken rule is printed like a good one.
+def test_a_fault_is_found(line):
+    """Guards against a day with a broken rule that is printed like a good one.
 
-    Cause: the pattern that was looked for stood in no report.
+    This happens if no report contains the pattern that is searched for.
     """
     assert find_faults("store-silent", GOOD + line) == [line.strip()]
 
@@ -41,9 +41,11 @@
     assert find_faults("kills", "") == ["no result"]
 
 
-@pytest.mark.parametrize("file", sorted(FOLDER.glob("*.toml")), ids=lambda f: f.stem)
-def test_a_day_is_named_like_its_file(file):
-    """Symptom: a day is played and found in no report. Cause: its row has its name."""
+@pytest.mark.parametrize(
+    "file", sorted(DAYS_FOLDER.glob("*.toml")), ids=lambda f: f.stem
+)
+def test_a_day_has_the_name_of_its_file(file):
+    """Guards against a day without result, as its row in the report has its name."""
     day = tomllib.loads(file.read_text())
     assert day["name"] == file.stem
     assert day.get("plan") or day.get("faults")
--- a/tests/bench/test_losses.py
+++ b/tests/bench/test_losses.py
@@ -1,9 +1,9 @@
 # ruff: noqa: E501 (the report is as the program writes it)
-"""What a report says of a day's losses."""
+"""Losses of a day, as read from its report."""
 
 import pytest
 
-from bench.losses import NoReport, read, table
+from bench.losses import NoReport, format_table, parse_report
 
 REPORT = """\
 day                  own/srv  score  worth served refused failed  weakest part
@@ -26,17 +26,17 @@
 
 
 def test_a_report_is_read():
-    loss = read(REPORT)
+    loss = parse_report(REPORT)
     assert loss.worth == 0.577
     assert loss.parts["worst windows"] == pytest.approx(0.47 * 0.4)
     assert loss.prices["GB between zones"] == 0.0918
     assert [each.name for each in loss.classes] == ["fault-lookup", "part-dispatch"]
-    assert loss.classes[0].lost == pytest.approx(0.9 * 1158 + 284 + 11)
+    assert loss.classes[0].lost_worth == pytest.approx(0.9 * 1158 + 284 + 11)
     assert loss.classes[0].p50_ms == 117.4
 
 
-def test_the_largest_loss_of_each_sort_comes_first():
-    rows = table(read(REPORT))
+def test_the_largest_loss_of_each_kind_comes_first():
+    rows = format_table(parse_report(REPORT))
     assert rows[1].startswith("| worst windows | -0.188")
     prices = [row for row in rows if "price" in row]
     assert prices[0].startswith("| price: GB between zones")
@@ -44,6 +44,6 @@
     assert rows[-2].startswith("| class fault-lookup")
 
 
-def test_a_text_that_is_no_report_is_refused():
+def test_a_text_that_is_no_report_raises_an_error():
     with pytest.raises(NoReport):
-        read("fault: no request is served")
+        parse_report("fault: no request is served")
