--- a/packages/policy/src/cairnferry/policy/usable/_limited_targets.py
+++ b/packages/policy/src/cairnferry/policy/usable/_limited_targets.py
@@ -105,10 +105,10 @@
             Infinity if there is no permit for any of them; None if the request does not
             wait because of limits.
         """
-        left = [*usable.near, *usable.far]
-        if not self.limits or not left or self._unlimited(left):
+        targets = [*usable.near, *usable.far]
+        if not self.limits or not targets or self._unlimited(targets):
             return None
-        return min(self.limits.next_start(t.identity, urgent, now) for t in left)
+        return min(self.limits.next_start(t.identity, urgent, now) for t in targets)
 
     # -- permits to request --------------------------------------------------------
 
@@ -164,8 +164,8 @@
             expected -= held
             if target.identity in excluded:
                 continue
-            most = 1 if target.ejected_until else share
-            count = min(most - held, expected)
+            max_held = 1 if target.ejected_until else share
+            count = min(max_held - held, expected)
             if count > 0:
                 requests.append(PermitRequest(target.record, count))
                 expected -= count
--- a/packages/policy/src/cairnferry/policy/usable/_usable.py
+++ b/packages/policy/src/cairnferry/policy/usable/_usable.py
@@ -90,7 +90,7 @@
     def _from_position(self, ring):
         """Rotate a ring to the own position, counted over all targets, used or not.
 
-        A target that is out of use for a moment thus moves no daemon's position.
+        A target that is out of use for a moment thus does not move any position.
         """
         first = int(self.ring_position * len(ring))
         return ring[first:] + ring[:first]
@@ -137,7 +137,7 @@
 
 
 def _ejected_until(target, _usable):
-    # An ejected target returns after a trial, not at a time.
+    # An ejected target returns after a trial, not at a fixed time.
     return math.inf if target.ejected_until else -math.inf
 
 
--- a/packages/records/src/cairnferry/records/_errors.py
+++ b/packages/records/src/cairnferry/records/_errors.py
@@ -77,6 +77,8 @@
         Revision that the operator had read.
     actual : int
         Current revision; 0 if the record does not exist.
+    field : str
+        Name of the field that conflicts.
     """
 
     key: RecordKey
--- a/packages/standins/src/cairnferry/standins/_checks.py
+++ b/packages/standins/src/cairnferry/standins/_checks.py
@@ -3,9 +3,9 @@
 import collections
 import time
 
-# Calls or probes that are allowed in addition, for the time in which daemons start.
+# Additional calls or probes that are allowed while daemons start.
 START_ALLOWANCE = 20
-# Least and greatest number of runs that an outcome allows.
+# Minimum and maximum number of runs that an outcome allows.
 _MIN_RUNS = {"ok": 1}
 _MAX_RUNS = {"not-run": 0, "not-sent": 0}
 
@@ -108,7 +108,7 @@
 
 
 def check_revision(run, *names) -> list[str]:
-    """Check that the last accepted revision is in effect at daemons."""
+    """Check that the last accepted revision is in force at daemons."""
     failures = []
     for name in names or list(run.system.daemons):
         revision = run.system.revision_of(run.system.daemons[name])
@@ -129,9 +129,9 @@
     return _find_rate_failures(run, "calls of the platform", calls, float(most))
 
 
-def _find_rate_failures(run, what, count, most):
-    allowed = START_ALLOWANCE + most * (time.monotonic() - run.serving_since)
-    return [f"{count} {what}, {allowed:.0f} allowed"] if count > allowed else []
+def _find_rate_failures(run, subject, count, max_per_s):
+    allowed = START_ALLOWANCE + max_per_s * (time.monotonic() - run.serving_since)
+    return [f"{count} {subject}, {allowed:.0f} allowed"] if count > allowed else []
 
 
 CHECKS = {
--- a/packages/standins/src/cairnferry/standins/_load.py
+++ b/packages/standins/src/cairnferry/standins/_load.py
@@ -302,8 +302,8 @@
         outcomes = call_pipelined((client.host, client.port), payloads, timeout)
         for request_id, outcome in zip(ids, outcomes, strict=True):
             if isinstance(outcome, NotSent):
-                # Not read, as an earlier response closed the connection, or no
-                # connection at all: sent again on a connection of its own.
+                # The server did not read the request, as no connection was opened or
+                # an earlier response closed it. Retry on a separate connection.
                 outcome = self._call(
                     self.address_cache.choose_client(), request_id, timeout
                 )
--- a/packages/standins/src/cairnferry/standins/_pipelined.py
+++ b/packages/standins/src/cairnferry/standins/_pipelined.py
@@ -53,12 +53,12 @@
     # If the connection ends within a response, the later requests may have been read
     # and run.
     closed = outcomes and isinstance(outcomes[-1], Reply)
-    rest = NotSent(Failure.RESET) if closed else Incomplete(Failure.CUT_SHORT)
-    return outcomes + [rest] * (len(payloads) - len(outcomes))
+    remaining = NotSent(Failure.RESET) if closed else Incomplete(Failure.CUT_SHORT)
+    return outcomes + [remaining] * (len(payloads) - len(outcomes))
 
 
 def _read_reply(file):
-    """Read a response with Content-Length; raise ValueError or OSError if broken."""
+    """Read a response with Content-Length; raise ValueError or OSError if malformed."""
     line = file.readline()
     if not line:
         raise ConnectionResetError
--- a/packages/standins/src/cairnferry/standins/_ports.py
+++ b/packages/standins/src/cairnferry/standins/_ports.py
@@ -21,12 +21,14 @@
     """Return the ports that only this process of a test run uses.
 
     With a common range, another process could bind a port after it was found free and
-    before the process that it is meant for listens there. That process would then
-    exit at its start, in rare cases.
+    before the intended process listens there. The intended process would then exit at
+    its start, in rare cases.
     """
     index, count = (int(number) for number in part.split("/"))
-    each = (LAST_PORT - FIRST_PORT) // count
-    return range(FIRST_PORT + index * each, FIRST_PORT + (index + 1) * each)
+    ports_per_part = (LAST_PORT - FIRST_PORT) // count
+    return range(
+        FIRST_PORT + index * ports_per_part, FIRST_PORT + (index + 1) * ports_per_part
+    )
 
 
 def free_port() -> int:
--- a/packages/standins/src/cairnferry/standins/_processes.py
+++ b/packages/standins/src/cairnferry/standins/_processes.py
@@ -169,8 +169,7 @@
     def start_daemon(self, name, zone, **settings) -> Process:
         """Start a daemon.
 
-        A daemon of the same name that was started before passes its addresses on to
-        this one.
+        A daemon that was started before under the same name keeps its addresses.
 
         Parameters
         ----------
@@ -226,8 +225,8 @@
             },
             "policy": {"seed": "7"},
         }
-        for dotted, value in settings.items():
-            section, _, key = dotted.partition("__")
+        for compound_key, value in settings.items():
+            section, _, key = compound_key.partition("__")
             sections.setdefault(section, {})[key] = str(value)
         lines = []
         for section, keys in sections.items():
@@ -277,12 +276,12 @@
             wait_for(lambda p=process: p.read("operators", "/v1/status") is not None)
 
     def await_revision(self, revision: int, daemons=None) -> None:
-        """Wait until a revision, or a later one, is in effect at each daemon."""
+        """Wait until a revision, or a later one, is in force at each daemon."""
         for process in daemons or self.daemons.values():
             wait_for(lambda p=process: self.revision_of(p) >= revision)
 
     def revision_of(self, daemon: Process) -> int:
-        """Return the revision in effect at a daemon; -1 if it does not respond."""
+        """Return the revision in force at a daemon; -1 if it does not respond."""
         document = daemon.read("operators", "/v1/status")
         return -1 if document is None else document["revision"]
 
@@ -297,7 +296,7 @@
         members = document["members"] if document else []
         return sum(member["state"] == "alive" for member in members)
 
-    # -- acting -----------------------------------------------------------------
+    # -- changing -----------------------------------------------------------------
 
     def publish_instances(self) -> None:
         """Write all daemons and targets to the platform's list of instances."""
@@ -349,7 +348,7 @@
         """
         return read_journal(self.journal_path(name))
 
-    # -- ending -----------------------------------------------------------------
+    # -- stopping ---------------------------------------------------------------
 
     def kill_all(self) -> None:
         """Kill every process that was started, and stop the relays."""
--- a/packages/standins/src/cairnferry/standins/_relay.py
+++ b/packages/standins/src/cairnferry/standins/_relay.py
@@ -38,12 +38,12 @@
         self.is_cut = True
         self.drop()
 
-    def heal(self) -> None:
+    def restore(self) -> None:
         """Accept connections again, and forward the data that was held."""
         self.is_cut = False
         self._forwarding.set()
 
-    def hold(self) -> None:
+    def stall(self) -> None:
         """Accept connections and data but forward nothing, as if packets were lost."""
         self._forwarding.clear()
 
--- a/packages/standins/src/cairnferry/standins/_scenario.py
+++ b/packages/standins/src/cairnferry/standins/_scenario.py
@@ -84,9 +84,9 @@
         self.serving_since = time.monotonic()
 
 
-def check(run, name, *words, **settings):
+def check(run, name, *arguments, **settings):
     """Run a check; raise `ScenarioFault` with its first failures, if any."""
-    failures = CHECKS[name](run, *words, **settings)
+    failures = CHECKS[name](run, *arguments, **settings)
     if failures:
         raise ScenarioFault("; ".join(failures[:MAX_FAILURES_SHOWN]))
 
--- a/packages/standins/src/cairnferry/standins/_scenario_language.py
+++ b/packages/standins/src/cairnferry/standins/_scenario_language.py
@@ -48,6 +48,8 @@
 
 
 class _Builder(lark.Transformer):
+    """Builds a `Scenario` from a parse tree."""
+
     def head(self, items):
         return [str(item)[1:-1] for item in items]
 
--- a/packages/standins/src/cairnferry/standins/_steps_callers.py
+++ b/packages/standins/src/cairnferry/standins/_steps_callers.py
@@ -10,7 +10,8 @@
 
 # Requests per second.
 DEFAULT_RATE = 60.0
-FOREVER_S = 3600.0
+# Longer than any scenario runs.
+MAX_LOAD_S = 3600.0
 
 
 @attrs.define
@@ -39,7 +40,7 @@
         service=service,
         operations=parse_operations(operations or f"GET /{service}"),
         rate=float(rate),
-        seconds=FOREVER_S,
+        seconds=MAX_LOAD_S,
         timeout_ms=int(settings.get("timeout_ms", 2000)),
         zone=settings.get("zone", ""),
         seed=int(settings.get("seed", 1)),
@@ -60,12 +61,12 @@
     run.marks[name] = time.monotonic()
 
 
-def await_event(run, subject, *words):
+def await_event(run, subject, *arguments):
     """Wait for outcomes of callers, or for an event of `_AWAITS`."""
     if subject in run.loads:
-        await_outcomes(run, subject, *words)
+        await_outcomes(run, subject, *arguments)
     else:
-        _AWAITS[subject](run, *words)
+        _AWAITS[subject](run, *arguments)
 
 
 def await_outcomes(run, name, outcome, count):
@@ -76,7 +77,7 @@
 
 
 def await_revision(run, *names):
-    """Wait until the last accepted revision is in effect at daemons."""
+    """Wait until the last accepted revision is in force at daemons."""
     run.system.await_revision(run.revision, run.select_daemons(names))
 
 
--- a/packages/standins/src/cairnferry/standins/_steps_operators.py
+++ b/packages/standins/src/cairnferry/standins/_steps_operators.py
@@ -1,4 +1,4 @@
-"""Scenario steps of operators: single changes and concurrent ones."""
+"""Scenario steps of operators: single changes and concurrent changes."""
 
 import collections
 import json
--- a/packages/standins/src/cairnferry/standins/_steps_processes.py
+++ b/packages/standins/src/cairnferry/standins/_steps_processes.py
@@ -41,13 +41,15 @@
     `seeds` names the daemons that are its seed peers, separated by commas; `settings`
     are settings as SECTION_KEY=value.
     """
-    dotted = {key.replace("_", "__", 1): text for key, text in settings.items()}
+    daemon_settings = {
+        key.replace("_", "__", 1): text for key, text in settings.items()
+    }
     if seeds:
         seed_daemons = [run.system.daemons[seed] for seed in seeds.split(",")]
         addresses = [process.addresses["advertised"] for process in seed_daemons]
-        dotted["peers__seeds"] = ", ".join(addresses)
-    run.daemon_settings[name] = dotted
-    run.system.start_daemon(name, zone, **dotted)
+        daemon_settings["peers__seeds"] = ", ".join(addresses)
+    run.daemon_settings[name] = daemon_settings
+    run.system.start_daemon(name, zone, **daemon_settings)
 
 
 def await_serving(run):
@@ -106,14 +108,14 @@
 def restore_connections(run, name, what):
     """Undo the steps `cut` and `hold`."""
     if what == "platform":
-        run.system.platform_relays[name].heal()
+        run.system.platform_relays[name].restore()
         return
     run.system.write_key(name, run.system.peer_key)
 
 
 def stall_connections(run, name):
     """Stall all traffic between a daemon and the platform, with connections open."""
-    run.system.platform_relays[name].hold()
+    run.system.platform_relays[name].stall()
 
 
 def change_target(run, name, **behaviour):
--- a/packages/standins/src/cairnferry/standins/_target.py
+++ b/packages/standins/src/cairnferry/standins/_target.py
@@ -51,7 +51,7 @@
     service_ms : float
         Mean service time of a request before other fields apply, in milliseconds.
     spread : float
-        Greatest random deviation of the service time, as a share of it, 0 to 1.
+        Maximum random deviation of the service time, as a share of it, 0 to 1.
     slow_factor : float
         Factor on the service time.
     cold_s, cold_factor : float
@@ -122,7 +122,7 @@
     address : tuple of (str, int)
         Host and port to listen on.
     name : str
-        Name of the target in its responses.
+        Name of the target, which its responses contain.
     behaviour : TargetBehaviour
         Initial behaviour.
     seed : int, optional
@@ -325,15 +325,15 @@
         return True
 
     def _report_headers(self):
-        named = [(LIMIT_HEADER, self.behaviour.limit)] if self.behaviour.limit else []
+        headers = [(LIMIT_HEADER, self.behaviour.limit)] if self.behaviour.limit else []
         if not self.behaviour.reports:
-            return named
+            return headers
         value = self._reported_load() * self.behaviour.report_error
         text = f"TEXT named_metrics.in_use={value:g}"
         self.measuring_bytes += (
             len(REPORT_HEADER) + len(text) + HEADER_FIELD_OVERHEAD_BYTES
         )
-        return [*named, (REPORT_HEADER, text)]
+        return [*headers, (REPORT_HEADER, text)]
 
     def _reported_load(self):
         if not self.behaviour.report_lag_ms:
--- a/packages/standins/src/cairnferry/standins/_waiting.py
+++ b/packages/standins/src/cairnferry/standins/_waiting.py
@@ -34,5 +34,5 @@
         if value:
             return value
         if time.monotonic() >= deadline:
-            raise EventTimeout("the awaited event did not come")
+            raise EventTimeout("the awaited event did not occur")
         time.sleep(POLL_INTERVAL_S)
--- a/packages/standins/src/cairnferry/standins/command.py
+++ b/packages/standins/src/cairnferry/standins/command.py
@@ -179,11 +179,11 @@
 
 
 def _wait_for_signal():
-    ended = Event()
-    gevent.signal_handler(signal.SIGTERM, ended.set)
-    gevent.signal_handler(signal.SIGINT, ended.set)
+    stop_requested = Event()
+    gevent.signal_handler(signal.SIGTERM, stop_requested.set)
+    gevent.signal_handler(signal.SIGINT, stop_requested.set)
     print("ready", flush=True)
-    ended.wait()
+    stop_requested.wait()
 
 
 def _run_platform(cfg):
--- a/packages/wire/src/cairnferry/wire/_exchange.py
+++ b/packages/wire/src/cairnferry/wire/_exchange.py
@@ -120,7 +120,7 @@
     def __init__(self, method, rules):
         super().__init__(method)
         self.overrun = False
-        self.skipped_unrelated = False
+        self.skipped_foreign = False
         self.received_headers = []
         self.reply: Reply | None = None
         self._rules = rules
@@ -140,7 +140,7 @@
             return
         is_foreign = self._rules.is_foreign
         if is_foreign is not None and is_foreign(self.received_headers):
-            self.skipped_unrelated = True
+            self.skipped_foreign = True
             self._body_buffer.clear()
             return
         body = bytes(self._body_buffer)
@@ -266,7 +266,7 @@
         if rules.close_ends_body and parser.get("transfer-encoding") is None:
             return parser.reply, False
         return Incomplete(Failure.BAD_FRAMING), False
-    return parser.reply, not (parser.skipped_unrelated or parser.should_close())
+    return parser.reply, not (parser.skipped_foreign or parser.should_close())
 
 
 def _has_explicit_length(parser):
--- a/packages/wire/src/cairnferry/wire/_pool.py
+++ b/packages/wire/src/cairnferry/wire/_pool.py
@@ -72,8 +72,8 @@
                 continue
             if idempotent or age <= self.trusted_idle_s:
                 return conn
-            # Too old for this request, but usable for the next idempotent one. All
-            # connections below it in the stack are older.
+            # The connection has idled too long for this request, but not for the next
+            # idempotent one. All connections below it in the stack have idled longer.
             self._idle.append(conn)
             break
         return self.open(timeout)
--- a/packages/wire/src/cairnferry/wire/_sockets.py
+++ b/packages/wire/src/cairnferry/wire/_sockets.py
@@ -4,7 +4,7 @@
 
 
 def set_no_delay(sock) -> None:
-    """Disable Nagle's algorithm, so that small segments are sent at once.
+    """Disable Nagle's algorithm, so that small segments are sent immediately.
 
     Notes
     -----
--- a/scripts/demo.py
+++ b/scripts/demo.py
@@ -162,7 +162,7 @@
                 faults.append(f"{method} {request_id}: {fault}")
     wait_for(lambda: not system.daemons["entry-0"].alive)
     if system.daemons["entry-0"].popen.returncode:
-        faults.append("entry-0 left with unanswered requests")
+        faults.append("entry-0 exited with unanswered requests")
     return faults
 
 
--- a/scripts/run_tests.py
+++ b/scripts/run_tests.py
@@ -12,8 +12,8 @@
 import tempfile
 import xml.etree.ElementTree as ElementTree
 
-# Half the processors of the machine that the tests were timed on, because each test
-# process starts others.
+# Half as many as the test machine has processors, because each test process starts
+# further processes.
 PROCESSES = 4
 PART_VARIABLE = "CAIRNFERRY_TEST_PART"
 COUNTS = ("tests", "failures", "errors", "skipped")
--- a/tests/adapter/_limited.py
+++ b/tests/adapter/_limited.py
@@ -1,4 +1,4 @@
-"""Stand-in for a target that names a request limit and records arrivals."""
+"""Stand-in for a target that advertises a request limit and records arrivals."""
 
 import time
 
@@ -8,7 +8,7 @@
 
 # The contract: in any window of WINDOW_S seconds, a target gets at most EXCESS times
 # the requests that its limit allows, plus SLACK. It applies from LIMIT_DELAY_S seconds
-# after the limit was first named.
+# after the limit was first advertised.
 WINDOW_S = 4.0
 EXCESS = 1.5
 SLACK = 5
@@ -18,12 +18,12 @@
 
 def max_per_window(arrivals, seconds=WINDOW_S):
     """Return the maximum number of arrivals in any window of this length."""
-    fullest = first = 0
+    highest = first = 0
     for last, at in enumerate(arrivals):
         while arrivals[first] <= at - seconds:
             first += 1
-        fullest = max(fullest, last - first + 1)
-    return fullest
+        highest = max(highest, last - first + 1)
+    return highest
 
 
 def max_allowed(limit, seconds=WINDOW_S):
@@ -32,7 +32,7 @@
 
 
 class LimitedTarget:
-    """A target that can name a limit in its answers.
+    """A target that can advertise a limit in its answers.
 
     Parameters
     ----------
@@ -60,7 +60,7 @@
         store.put("servers", name, target_row(self._target.port, service))
 
     def set_limit(self, limit):
-        """Name a limit from now on, or lift it with None; return the current time."""
+        """Advertise a limit from now on, or lift it with None; return the time."""
         self.limit = limit
         return time.monotonic()
 
--- a/tests/adapter/_recording.py
+++ b/tests/adapter/_recording.py
@@ -22,7 +22,7 @@
     status : str
         Status line of its answers; a request without a successful status is not run.
     extra : str or None
-        Header line with an advisory that each answer has.
+        Header line with an advisory that is added to each answer, or None.
     arrivals, advised : list of (float, str)
         Time and sending daemon of each request, and of each request whose answer had
         the `extra` header.
@@ -58,7 +58,7 @@
         return len({daemon for _, daemon in self.advised}) == daemons
 
     def count_late(self, since_s, to_s):
-        """Count the requests of a daemon after each answer with the header.
+        """Return how many requests a daemon sent after each answer with the header.
 
         Parameters
         ----------
@@ -67,8 +67,8 @@
         """
         return [
             sum(
-                advised_at + since_s <= at < advised_at + to_s and who == daemon
-                for at, who in self.arrivals
+                advised_at + since_s <= at < advised_at + to_s and sender == daemon
+                for at, sender in self.arrivals
             )
             for advised_at, daemon in self.advised
         ]
@@ -85,15 +85,15 @@
         target.stop()
 
 
-def start_callers(fleet, each, answers):
-    """Start `each` callers per daemon that call it without end; return their tasks.
+def start_callers(fleet, per_daemon, answers):
+    """Start `per_daemon` callers that call each daemon repeatedly; return their tasks.
 
     The time, the status and the reply of each call are appended to `answers`.
     """
     return [
         gevent.spawn(_call_repeatedly, process, f"d{index}", answers)
         for index, process in enumerate(fleet)
-        for _ in range(each)
+        for _ in range(per_daemon)
     ]
 
 
--- a/tests/adapter/_standins.py
+++ b/tests/adapter/_standins.py
@@ -40,7 +40,7 @@
     def __init__(self, port=0):
         self.rows = collections.defaultdict(dict)
         self.ver = 0
-        self.floor = 0
+        self.oldest_ver = 0
         self.era = None
         self.calls = collections.Counter()
         self.faults = collections.defaultdict(list)
@@ -68,7 +68,7 @@
 
     def drop_history(self):
         """Drop the history, so that changes after older versions are not available."""
-        self.floor = self.ver
+        self.oldest_ver = self.ver
 
     def copy(self):
         """Return a copy of all rows and of the version counter."""
@@ -148,7 +148,7 @@
 
     def _feed(self, query):
         after = int(query["after"])
-        if after < self.floor or after > self.ver:
+        if after < self.oldest_ver or after > self.ver:
             return 410, {}
         end = time.monotonic() + int(query["wait_ms"]) / 1000
         table = query["table"]
@@ -201,7 +201,7 @@
         self.behave = behave or (lambda number: None)
         self.load = load
         self.seen = []
-        self.cut = Event()
+        self.disconnected = Event()
         self.arrived = Event()
         self._socks = set()
         self._server = StreamServer((HOST, port), self._serve)
@@ -267,7 +267,7 @@
         watch = gevent.spawn(sock.recv, 1)
         gevent.wait([watch, event], count=1)
         if watch.ready():
-            self.cut.set()
+            self.disconnected.set()
             raise ConnectionAbortedError
         watch.kill()
 
--- a/tests/adapter/test_eras.py
+++ b/tests/adapter/test_eras.py
@@ -3,7 +3,7 @@
 Writes since the copy are lost, and the store issues their versions again. A daemon that
 waits for changes after version 500 then misses the writes up to version 500 of the new
 era. If the store has passed 500 by then, it reports no lost history, so the daemon
-serves old rules and targets and takes them for current.
+continues to use old rules and targets as if they were current.
 """
 
 import time
@@ -78,13 +78,13 @@
 ):
     daemon, _ = started
     copy = store.copy()
-    returns = start_target("i-2")
+    returning = start_target("i-2")
     start_target("i-3")
     wait_for_targets(daemon, "i-1", "i-2", "i-3")
     store.restore(copy)
     wait_for(lambda: daemon.core.metrics.store_era == 1)
     assert target_names(daemon) == {"i-1", "i-2", "i-3"}
-    store.put("servers", "i-2", target_row(returns.port))
+    store.put("servers", "i-2", target_row(returning.port))
     wait_for_targets(daemon, "i-1", "i-2")
 
 
--- a/tests/adapter/test_evacuation.py
+++ b/tests/adapter/test_evacuation.py
@@ -1,4 +1,4 @@
-"""Zones that operators evacuate by rows in the table of the rules."""
+"""Zones that operators evacuate by rows in the rules table."""
 
 import pytest
 
--- a/tests/adapter/test_evidence.py
+++ b/tests/adapter/test_evidence.py
@@ -75,7 +75,7 @@
 def test_target_that_took_over_an_address_runs_no_requests_for_old_one(
     unsafe_daemon, start_target, store, wait_for_targets
 ):
-    """Guards against a request that runs at a service to which no route leads.
+    """Guards against a request that runs at a service that its route does not name.
 
     A target terminates, and a target of another service gets its address. The request
     must name the target that may run it.
@@ -176,7 +176,7 @@
     """Guards against an unknown outcome of an order although its answer arrived.
 
     A surplus answer to an earlier request arrives just after the next request was sent
-    on the same connection, and must not be taken for the answer to this request.
+    on the same connection, and must not be relayed as the answer to this request.
     """
 
     def late(number):
--- a/tests/adapter/test_leaving_targets.py
+++ b/tests/adapter/test_leaving_targets.py
@@ -13,7 +13,7 @@
 
 DAEMONS = ("hall", "yard")
 TARGETS = 4
-# Seconds after such an answer in which the daemon that got it may still send requests.
+# Seconds after such an answer in which its receiver may still send requests.
 DRAIN_S = 2.0
 
 
--- a/tests/adapter/test_pipelining.py
+++ b/tests/adapter/test_pipelining.py
@@ -93,7 +93,7 @@
     sock.sendall(b"".join(map(request, READS)))
     wait_for(lambda: len(target.seen) == 3)
     sock.close()
-    target.cut.wait()
+    target.disconnected.wait()
     wait_for(lambda: not daemon.core.callers_server.connections)
 
 
--- a/tests/adapter/test_process.py
+++ b/tests/adapter/test_process.py
@@ -25,8 +25,8 @@
 # of a test run needs its own address.
 INSTANCE = unique_loopback_host(1)
 
-# Bytes of the smallest pipe buffer that the kernel allows.
-SMALLEST_PIPE = 4096
+# Size of the smallest pipe buffer that the kernel allows.
+SMALLEST_PIPE_BYTES = 4096
 DUMPS = 12
 DUMP_MESSAGE = b'"dump"'
 
@@ -98,8 +98,8 @@
 def test_request_in_flight_is_answered_after_sigterm(serving, start_target, store):
     """Guards against orders that fail in a rolling restart of the instances."""
     program, cfg = serving
-    hold = Event()
-    target = start_target(behave=lambda number: hold)
+    gate = Event()
+    target = start_target(behave=lambda number: gate)
     wait_for(lambda: program.logged("targets"))
     caller = gevent.spawn(send_request, cfg)
     target.arrived.wait()
@@ -107,7 +107,7 @@
     wait_for(lambda: program.logged("leaving"))
     ready = Client(INSTANCE, cfg.ready.port).call("GET", "/api/ready", timeout=10)
     assert ready.status == 503
-    hold.set()
+    gate.set()
     reply = caller.get()
     assert isinstance(reply, Reply)
     assert reply.status == 200
@@ -125,7 +125,7 @@
     store.put("op", "config", configuration())
     start_target()
     reading, writing = os.pipe()
-    fcntl.fcntl(writing, fcntl.F_SETPIPE_SZ, SMALLEST_PIPE)
+    fcntl.fcntl(writing, fcntl.F_SETPIPE_SZ, SMALLEST_PIPE_BYTES)
     text = settings_text(store.port, host=INSTANCE)
     cfg = read_host_settings(text).ok
     program = Program(tmp_path, text, writing)
--- a/tests/adapter/test_requests.py
+++ b/tests/adapter/test_requests.py
@@ -108,7 +108,7 @@
     conn.sock.sendall(encode_request("GET", "/a/x", "shop.example", headers, b""))
     target.arrived.wait()
     conn.close()
-    target.cut.wait()
+    target.disconnected.wait()
 
 
 def test_non_numeric_deadline_is_rejected(daemon, start_target, wait_for_targets):
--- a/tests/adapter/test_requests_that_crash_targets.py
+++ b/tests/adapter/test_requests_that_crash_targets.py
@@ -67,7 +67,8 @@
     """Guards against daemons that each admit the same request.
 
     The request is sent to one daemon after the other, with a new ID each time. Each
-    daemon discarded it once it was answered, and got no report on it from the others.
+    daemon discarded the request after its answer, and got no report on it from the
+    others.
     """
     for turn in range(TURNS):
         reply = fleet[turn % len(fleet)].call(**req, request_id=f"r-{turn}")
--- a/tests/adapter/test_resting_targets.py
+++ b/tests/adapter/test_resting_targets.py
@@ -13,7 +13,7 @@
 
 DAEMONS = ("hall", "yard")
 TARGETS = 4
-CALLERS_EACH = 4
+CALLERS_PER_DAEMON = 4
 BACK_OFF_S = 3.0
 # From GRACE_S seconds after a target asked for a back-off to the end of the back-off,
 # each daemon may send it at most ALLOWED requests.
@@ -38,13 +38,13 @@
     """Yield daemons of two zones, with callers for each daemon."""
     store.put("op", "config", configuration(rules=[rule(attempts=2)]))
     with running_fleet(store.port, DAEMONS, tmp_path) as started:
-        callers = start_callers(started, CALLERS_EACH, answers)
+        callers = start_callers(started, CALLERS_PER_DAEMON, answers)
         yield started
         gevent.killall(callers)
 
 
 def request_back_off(targets):
-    """Let targets refuse requests until each daemon was asked; return the time then."""
+    """Let targets refuse until each daemon was asked to back off; return the time."""
     for target in targets:
         target.status, target.extra = "503 Busy", f"Retry-After: {BACK_OFF_S}"
     wait_for(lambda: all(each.has_advised(len(DAEMONS)) for each in targets), 60.0)
@@ -76,17 +76,20 @@
 def test_retry_after_is_end_of_first_back_off_while_all_targets_back_off(
     fleet, targets, answers
 ):
-    """Guards against a Retry-After that differs from the known end of a back-off."""
+    """Guards against a Retry-After that differs from the end of the first back-off."""
     wait_for(lambda: all(len(target.arrivals) >= 10 for target in targets), 60.0)
-    last = request_back_off(targets)
+    all_asked_at = request_back_off(targets)
     recover(targets)
-    first_back = min(at for target in targets for at, _ in target.advised) + BACK_OFF_S
-    wait_for(lambda: answers[-1][0] > last + BACK_OFF_S and answers[-1][1] == 200, 60.0)
+    first_end = min(at for target in targets for at, _ in target.advised) + BACK_OFF_S
+    wait_for(
+        lambda: answers[-1][0] > all_asked_at + BACK_OFF_S and answers[-1][1] == 200,
+        60.0,
+    )
     retry_times = [
         at + float(reply.header("retry-after"))
         for at, status, reply in answers
-        if last + MARGIN_S < at < first_back - MARGIN_S and status == 503
+        if all_asked_at + MARGIN_S < at < first_end - MARGIN_S and status == 503
     ]
     assert retry_times
-    assert min(retry_times) >= first_back - MARGIN_S
+    assert min(retry_times) >= first_end - MARGIN_S
     assert max(max_during_back_off(target) for target in targets) <= ALLOWED
--- a/tests/adapter/test_retry_budgets.py
+++ b/tests/adapter/test_retry_budgets.py
@@ -13,6 +13,7 @@
 DAEMONS = ("hall", "yard")
 TARGETS = 8
 RESTARTS = 5
+# Calls to each daemon before each restart.
 CALLS = 10
 RATIO = 0.2
 SLACK = 10
--- a/tests/adapter/test_target_limits.py
+++ b/tests/adapter/test_target_limits.py
@@ -1,10 +1,10 @@
-"""Several daemon processes, and a target that names a request limit.
+"""Several daemon processes, and a target that advertises a request limit.
 
-An overloaded target named a limit of 2.6 requests per second over all daemons. It got
-26 requests in 4 s, as many as before, from daemons that had relayed its answers; 21 are
-allowed. The daemons did not read the limit header and did not count the requests of all
-daemons together. They kept choosing the target by its load, which is low when it gets
-few requests.
+An overloaded target advertised a limit of 2.6 requests per second over all daemons. It
+got 26 requests in 4 s, as many as before, from daemons that had relayed its answers; 21
+are allowed. The daemons did not read the limit header and did not count the requests of
+all daemons together. The daemons kept choosing the target by its load, which is low
+when it gets few requests.
 """
 
 import signal
@@ -27,8 +27,9 @@
 
 DAEMONS = ("hall", "hall", "yard", "yard")
 TARGETS = 4
-CALLERS_EACH = 3
+CALLERS_PER_DAEMON = 3
 PAUSE_S = 0.05
+# Requests per second.
 LIMIT = 2.6
 
 
@@ -49,7 +50,7 @@
         callers = [
             gevent.spawn(call_repeatedly, process)
             for process in started
-            for _ in range(CALLERS_EACH)
+            for _ in range(CALLERS_PER_DAEMON)
         ]
         yield started
         gevent.killall(callers)
@@ -69,31 +70,31 @@
 
 
 def test_limit_is_kept_over_all_daemons_until_lifted(fleet, targets):
-    """The target names, lowers and lifts its limit while all daemons get requests."""
+    """The target sets, lowers and lifts its limit while all daemons get requests."""
     limited, other = targets[0], targets[1]
     wait_for_arrivals(limited, 20, 0.0)
-    named = limited.set_limit(LIMIT)
+    advertised_at = limited.set_limit(LIMIT)
     gevent.sleep(LIMIT_DELAY_S + 1.5 * WINDOW_S)
-    counted = limited.arrivals_since(named + LIMIT_DELAY_S)
+    counted = limited.arrivals_since(advertised_at + LIMIT_DELAY_S)
     assert max_per_window(counted) <= max_allowed(LIMIT)
     # The target still gets requests: sending none would keep the limit too.
     assert counted
-    assert other.arrivals_since(named + LIMIT_DELAY_S)
+    assert other.arrivals_since(advertised_at + LIMIT_DELAY_S)
 
-    lowered = limited.set_limit(LIMIT / 4)
+    lowered_at = limited.set_limit(LIMIT / 4)
     gevent.sleep(LIMIT_DELAY_S + WINDOW_S)
-    counted = limited.arrivals_since(lowered + LIMIT_DELAY_S)
+    counted = limited.arrivals_since(lowered_at + LIMIT_DELAY_S)
     assert max_per_window(counted) <= max_allowed(LIMIT / 4)
 
-    lifted = limited.set_limit(None)
-    wait_for_arrivals(limited, 100, lifted)
+    lifted_at = limited.set_limit(None)
+    wait_for_arrivals(limited, 100, lifted_at)
 
 
 def test_limit_is_kept_while_daemons_freeze_and_restart(fleet, targets):
     """Guards against permits that are issued twice when the permit issuer changes."""
     limited = targets[0]
     wait_for_arrivals(limited, 20, 0.0)
-    named = limited.set_limit(LIMIT)
+    advertised_at = limited.set_limit(LIMIT)
     gevent.sleep(LIMIT_DELAY_S)
     for process in list(fleet):
         process.process.send_signal(signal.SIGSTOP)
@@ -109,7 +110,7 @@
     since = time.monotonic()
     gevent.sleep(WINDOW_S)
     assert max_per_window(limited.arrivals_since(since)) <= max_allowed(LIMIT)
-    frozen = limited.arrivals_since(named + LIMIT_DELAY_S)
-    first_start = named + LIMIT_DELAY_S + len(DAEMONS) * 1.0 + 1.0
+    frozen = limited.arrivals_since(advertised_at + LIMIT_DELAY_S)
+    first_start = advertised_at + LIMIT_DELAY_S + len(DAEMONS) * 1.0 + 1.0
     before = [at for at in frozen if at < first_start]
     assert max_per_window(before) <= max_allowed(LIMIT)
--- a/tests/adapter/test_updates.py
+++ b/tests/adapter/test_updates.py
@@ -17,11 +17,11 @@
 
 @pytest.fixture(autouse=True)
 def short_coalescing(monkeypatch):
-    """Call for targets again at once; the pause saves calls, no test relies on it."""
+    """Shorten the pause between calls for targets; no test relies on it."""
     monkeypatch.setattr(_followed, "TARGETS_COALESCE_S", 0.001)
 
 
-def in_force(daemon, revision):
+def wait_for_revision(daemon, revision):
     wait_for(lambda: daemon.core.services.revision == revision)
 
 
@@ -31,7 +31,7 @@
     start_target("i-2", service="two")
     rules = [rule(service="two")]
     store.put("op", "config", configuration(9, rules=rules, clusters=("two",)))
-    in_force(daemon, 9)
+    wait_for_revision(daemon, 9)
     wait_for_targets(daemon, "i-2")
     assert daemon.call().body.startswith(b"i-2")
 
@@ -40,7 +40,7 @@
     store.put("op", "config", configuration(2, rules=[rule(prefix="/old/")]))
     store.put("op", "other", {"x": 1})
     store.put("op", "config", configuration(4))
-    in_force(daemon, 4)
+    wait_for_revision(daemon, 4)
     assert daemon.call("/old/").status == 404
 
 
@@ -58,13 +58,13 @@
     assert daemon.call().status == 200
     assert "rules cannot be read" in caplog.text
     store.put("op", "config", configuration(10))
-    in_force(daemon, 10)
+    wait_for_revision(daemon, 10)
     assert daemon.core.cluster.configuration.behind is None
 
 
 def test_configuration_sets_limits(daemon, store):
     store.put("op", "config", configuration(5, max_body_bytes=10, idle_timeout="7s"))
-    in_force(daemon, 5)
+    wait_for_revision(daemon, 5)
     assert daemon.call(method="POST", body=b"x" * 11).status == 413
     assert daemon.core.callers_server.limits.idle_s == 7.0
 
@@ -110,7 +110,7 @@
     store.put("op", "config", configuration(20))
     store.drop_history()
     store.down = None
-    in_force(daemon, 20)
+    wait_for_revision(daemon, 20)
     wait_for_targets(daemon, "i-2")
 
 
@@ -127,7 +127,7 @@
     assert daemon.call().status == 200
     store.down = None
     store.put("op", "config", configuration(8))
-    in_force(daemon, 8)
+    wait_for_revision(daemon, 8)
 
 
 def test_slow_answer_takes_effect_on_arrival(store, start_daemon):
@@ -137,7 +137,7 @@
     wait_for(lambda: store.calls["/api/rows-get"] >= 3)
     assert daemon.call().status == 503
     store.resume.set()
-    in_force(daemon, 3)
+    wait_for_revision(daemon, 3)
 
 
 def test_daemon_refused_by_store_gets_updates_from_a_peer(daemon, store, start_daemon):
@@ -150,7 +150,7 @@
     document = json.dumps(configuration(30)).encode()
     store.down = 503
     other.core.cluster.configuration.apply(document)
-    in_force(daemon, 30)
+    wait_for_revision(daemon, 30)
 
 
 def test_daemon_can_start_while_store_is_unavailable(store, start_daemon):
@@ -160,7 +160,7 @@
     wait_for(lambda: store.calls["/api/rows-tx"] >= 2)
     assert daemon.call().status == 503
     store.down = None
-    in_force(daemon, 3)
+    wait_for_revision(daemon, 3)
     wait_for(lambda: daemon.core.cluster.listed)
 
 
@@ -168,15 +168,15 @@
     daemon, store, start_target, wait_for_targets
 ):
     """Guards against requests that fail when the configuration changes."""
-    hold = Event()
-    target = start_target(behave=lambda number: hold)
+    gate = Event()
+    target = start_target(behave=lambda number: gate)
     wait_for_targets(daemon, "i-1")
     caller = gevent.spawn(daemon.call)
     target.arrived.wait()
     rules = [rule("r-9", "/z/", service="two")]
     store.put("op", "config", configuration(9, rules=rules, clusters=("two",)))
-    in_force(daemon, 9)
-    hold.set()
+    wait_for_revision(daemon, 9)
+    gate.set()
     assert caller.get().status == 200
 
 
@@ -212,7 +212,7 @@
     store.drop("servers", "i-1")
     store.put("op", "config", configuration(40))
     store.down = None
-    in_force(other, 40)
+    wait_for_revision(other, 40)
     wait_for_targets(other, "i-2")
 
 
@@ -240,10 +240,10 @@
             requested.append(revision)
             return NO_DOCUMENT_NEWS
 
-    def at_once(pause, function, *args):
+    def call_at_once(pause, function, *args):
         function(*args)
 
-    monkeypatch.setattr(_followed.gevent, "spawn_later", at_once)
+    monkeypatch.setattr(_followed.gevent, "spawn_later", call_at_once)
     records = daemon.core.cluster.configuration
     records.pull_from(Link(), offered=records.revision + 1)
     assert len(requested) == 1 + MAX_BUSY_RETRIES
--- a/tests/adapter/test_watching.py
+++ b/tests/adapter/test_watching.py
@@ -124,11 +124,11 @@
     """Guards against a zone that gets no updates after its watcher stopped."""
     (first,) = active_watchers(daemons)
     first.stop()
-    left = [daemon for daemon in daemons if daemon is not first]
+    remaining = [daemon for daemon in daemons if daemon is not first]
     store.put("op", "config", configuration(9))
     store.drop("servers", "i-1")
-    wait_for_targets(left)
-    for daemon in left:
+    wait_for_targets(remaining)
+    for daemon in remaining:
         wait_for(lambda d=daemon: d.core.services.revision == 9)
 
 
@@ -136,12 +136,12 @@
     """Guards against a zone without updates while the store refuses its watcher."""
     (first,) = active_watchers(daemons)
     refused = first.core.cluster.configuration.rules_feed.store
-    since = TableFeed.wait_for_changes
+    wait_for_changes = TableFeed.wait_for_changes
 
     def refuse(feed, version, wait_s):
         if feed.store is refused:
             return Error(FeedUnavailable("refused"))
-        return since(feed, version, wait_s)
+        return wait_for_changes(feed, version, wait_s)
 
     monkeypatch.setattr(TableFeed, "wait_for_changes", refuse)
     # This write ends the call that is waiting for changes.
--- a/tests/bench/test_cold_targets.py
+++ b/tests/bench/test_cold_targets.py
@@ -9,14 +9,15 @@
 from bench.model import Fleet, LimitedService
 from bench.model._limited_service import COLD_PER_S, SERVICE
 
-WARM_S = 8.0
+# Simulated seconds in which all daemons join.
+JOIN_S = 8.0
 # Requests that a cold target tolerates in any second.
 MAX_IN_SECOND = 1.5 * COLD_PER_S + 8
 
 
 def start_fleet(size, zones, seed, per_s, targets, loss=0.0):
     fleet = Fleet(size, zones, seed, loss)
-    fleet.run(WARM_S)
+    fleet.run(JOIN_S)
     service = LimitedService.start(fleet, zones, targets, per_s, 20.0)
     fleet.run(2.0)
     return fleet, service
@@ -32,9 +33,9 @@
     return fleet.now
 
 
-def fullest_second(target, since):
-    late = [at for at in target.arrivals if at >= since]
-    return max((target.arrivals_between(at, at + 1.0) for at in late), default=0)
+def max_per_second(target, since):
+    later = [at for at in target.arrivals if at >= since]
+    return max((target.arrivals_between(at, at + 1.0) for at in later), default=0)
 
 
 def in_zone(service, zone):
@@ -53,7 +54,7 @@
     for target in list(service.targets.values())[:3]:
         at = make_cold(fleet, [target], 3.0)
         fleet.run(3.0)
-        assert fullest_second(target, at) <= MAX_IN_SECOND
+        assert max_per_second(target, at) <= MAX_IN_SECOND
 
 
 @pytest.mark.parametrize("by_row", [False, True])
@@ -63,7 +64,7 @@
     cold = in_zone(service, "z0")
     at = make_cold(fleet, cold, 4.0, by_row)
     fleet.run(4.0)
-    assert max(fullest_second(target, at) for target in cold) <= MAX_IN_SECOND
+    assert max(max_per_second(target, at) for target in cold) <= MAX_IN_SECOND
     used = sum(target.arrivals_between(at + 1.0, at + 4.0) for target in cold)
     assert used >= 0.9 * 3.0 * COLD_PER_S * len(cold)
 
@@ -74,7 +75,7 @@
     cold = list(service.targets.values())
     at = make_cold(fleet, cold, 6.0, by_row=True)
     fleet.run(6.0)
-    assert max(fullest_second(target, at) for target in cold) <= MAX_IN_SECOND
+    assert max(max_per_second(target, at) for target in cold) <= MAX_IN_SECOND
     used = sum(target.arrivals_between(at + 1.0, at + 6.0) for target in cold)
     assert 0.9 <= used / (5.0 * COLD_PER_S * len(cold)) <= 1.2
     assert service.refused
@@ -89,7 +90,7 @@
         fleet.run(1.0)
         daemon.is_up = False
     fleet.run(5.0)
-    assert max(fullest_second(target, at) for target in cold) <= MAX_IN_SECOND
+    assert max(max_per_second(target, at) for target in cold) <= MAX_IN_SECOND
 
 
 def test_a_target_that_is_warm_again_gets_its_usual_share():
@@ -156,7 +157,7 @@
         fleet.run(0.5)
     for target, first, last in disruptions.spans:
         arrivals = [at for at in target.arrivals if first <= at < last]
-        fullest = max(
+        highest = max(
             (sum(a <= at < a + 1.0 for at in arrivals) for a in arrivals), default=0
         )
-        assert fullest <= MAX_IN_SECOND
+        assert highest <= MAX_IN_SECOND
--- a/tests/bench/test_fleet.py
+++ b/tests/bench/test_fleet.py
@@ -104,7 +104,7 @@
     version_before = fleet.store.version
     fleet.store.restore_from(copy)
     reset_counts(fleet)
-    # The store gets past the version that the daemons know.
+    # The version of the store passes that of the daemons.
     for number in range(30):
         fleet.store.change(f"i-{number}", b"new")
     version = fleet.store.version
@@ -148,7 +148,7 @@
 
 
 @pytest.mark.parametrize("seed", [1, 2])
-def test_no_replica_of_the_table_goes_back(seed):
+def test_no_replica_of_the_table_reverts(seed):
     """Guards against a removed target that is used again for a moment."""
     fleet = start_fleet(40, seed=seed, loss=0.05)
     seen = {}
@@ -165,8 +165,8 @@
     for daemon in fleet.up():
         rows = {k: r.version for k, r in daemon.table.copy.rows.items()}
         at = daemon.table.copy.version
-        newer = {k: r for k, r in fleet.store.rows.items() if r.version <= at}
-        assert all(rows.get(k) == r.version for k, r in newer.items() if r.value)
+        expected = {k: r for k, r in fleet.store.rows.items() if r.version <= at}
+        assert all(rows.get(k) == r.version for k, r in expected.items() if r.value)
 
 
 def test_members_know_their_own_zone_and_a_few_of_each_other_zone():
--- a/tests/coordination/test_eras.py
+++ b/tests/coordination/test_eras.py
@@ -18,9 +18,9 @@
 
 @pytest.mark.parametrize(("era", "version"), [(0, 7), (1, 1), (MAX_ERA, 2**40 - 1)])
 def test_stamp_holds_era_and_version_and_fits_64_bits(era, version):
-    with_stamp = stamp(era, version)
-    assert (era_of(with_stamp), version_of(with_stamp)) == (era, version)
-    assert with_stamp < 2**63
+    stamped = stamp(era, version)
+    assert (era_of(stamped), version_of(stamped)) == (era, version)
+    assert stamped < 2**63
 
 
 def test_stamps_of_a_later_era_are_later():
--- a/tests/ctl/test_explain.py
+++ b/tests/ctl/test_explain.py
@@ -1,4 +1,4 @@
-"""Test the explanation of a request from log lines."""
+"""Explanation of a request from log lines."""
 
 import json
 import subprocess
@@ -52,7 +52,7 @@
         ("feed lost", "front-1"),
         ("request given up", "front-1"),
     ]
-    assert lines[0].facts["target"] == "t1"
+    assert lines[0].fields["target"] == "t1"
 
 
 def test_a_blocked_request_is_explained_by_the_crashes_that_led_to_the_block():
@@ -89,7 +89,7 @@
     texts.append(line(2.1, "request blocked", instance="front-2", **blocked))
     texts.append(line(2.2, "request blocked", instance="front-2", content="beef"))
     lines = explain(read_log(texts), ID, before_s=2.0)
-    assert [(each.message, each.facts.get("target")) for each in lines] == [
+    assert [(each.message, each.fields.get("target")) for each in lines] == [
         ("target ended under requests", "t1"),
         ("target ended under requests", "t2"),
         ("request blocked", None),
@@ -99,7 +99,7 @@
 
 def test_a_longer_time_before_the_request_includes_more_lines():
     lines = explain(read_log(TEXTS), ID, before_s=60.0)
-    assert [each.facts.get("target") for each in lines][:2] == ["t2", "t1"]
+    assert [each.fields.get("target") for each in lines][:2] == ["t2", "t1"]
 
 
 def test_a_request_without_log_lines_has_no_explanation():
@@ -124,7 +124,7 @@
         line(9.8, "limit lifted", target="t1"),
     ]
     lines = explain(read_log(texts), ID, before_s=2.0)
-    assert [each.facts.get("target") for each in lines] == ["t1", "t2", None]
+    assert [each.fields.get("target") for each in lines] == ["t1", "t2", None]
 
 
 def test_a_request_is_explained_by_earlier_evacuations_of_its_instance():
@@ -136,7 +136,7 @@
         line(9.8, "zone restored", restored="zone-a"),
     ]
     lines = explain(read_log(texts), ID, before_s=2.0)
-    assert [each.facts.get("evacuated") for each in lines] == ["zone-a", None]
+    assert [each.fields.get("evacuated") for each in lines] == ["zone-a", None]
 
 
 def test_a_request_is_explained_by_the_limits_of_the_targets_that_it_tried():
@@ -146,7 +146,7 @@
         line(9.5, "request given up", **GIVEN_UP),
     ]
     lines = explain(read_log(texts), ID, before_s=2.0)
-    assert [each.facts.get("target") for each in lines] == ["t1", None]
+    assert [each.fields.get("target") for each in lines] == ["t1", None]
 
 
 def test_lines_of_the_request_are_marked():
@@ -199,4 +199,4 @@
         line(9.8, "target has rested", target="t1"),
     ]
     lines = explain(read_log(texts), ID, before_s=2.0)
-    assert [each.facts.get("target") for each in lines] == ["t1", "t2", None]
+    assert [each.fields.get("target") for each in lines] == ["t1", "t2", None]
--- a/tests/ctl/test_report.py
+++ b/tests/ctl/test_report.py
@@ -1,4 +1,4 @@
-"""Test the page of charts from log lines."""
+"""Page of charts from log lines."""
 
 import xml.etree.ElementTree as ET
 
--- a/tests/entry/callers/test_guard.py
+++ b/tests/entry/callers/test_guard.py
@@ -136,7 +136,7 @@
     for target in targets:
         target.behaviour.ends_on = ""
     wait_for(lambda: all(target.server._server.started for target in targets))
-    pass_time(entry.guard, 21.0)
+    age_blocks(entry.guard, 21.0)
     assert entry.call("POST", POISON, body=b"x").status == 200
     assert entry.call("POST", POISON, body=b"x").status == 200
     assert entry.guard.snapshot() == []
@@ -149,7 +149,7 @@
     entry, targets = daemon_and_targets
     while cause(entry.call("POST", POISON, body=b"x")) != "ends-targets":
         pass
-    pass_time(entry.guard, 21.0)
+    age_blocks(entry.guard, 21.0)
     before = crashes(targets)
     for _ in range(4):
         entry.call("POST", POISON, body=b"x")
@@ -157,12 +157,12 @@
     assert entry.guard.snapshot()[0]["next_trial_s"] > 70
 
 
-def pass_time(guard, seconds):
+def age_blocks(guard, seconds):
     """Move the times of all blocks into the past."""
-    for case in guard.quarantine._cases.values():
-        case.blocks = {
+    for evidence in guard.quarantine._evidence.values():
+        evidence.blocks = {
             scope: Block(b.at - seconds, b.since - seconds, b.trials)
-            for scope, b in case.blocks.items()
+            for scope, b in evidence.blocks.items()
         }
 
 
--- a/tests/entry/callers/test_many_guards.py
+++ b/tests/entry/callers/test_many_guards.py
@@ -36,7 +36,7 @@
             self.registries.append(quarantine_note_registry(guard.receive))
         self.partitioned = set()
 
-    def read(self, table):
+    def apply_rows_of(self, table):
         """Apply the rows of the table at all daemons."""
         for guard in self.guards:
             guard.apply_rows(dict(table.rows))
@@ -82,7 +82,7 @@
     return InterruptedRequest(identity, "r", "s", target, at - 0.1, at)
 
 
-def block_at_one(fleet, clock, identity=None):
+def block_at_first_daemon(fleet, clock, identity=None):
     """Let three targets crash at the first daemon, one after another."""
     identity = identity or request()
     for number in range(3):
@@ -109,11 +109,14 @@
 
 
 def test_daemons_in_a_partition_share_one_trial(clock):
-    """Guards against one trial, and crash, per part of a partition after 20 s."""
+    """Guards against a trial, and thus a crash, in each part of a partition.
+
+    The first trial is due after 20 s.
+    """
     table = Table()
     fleet = Fleet(clock, 4, table)
-    identity = block_at_one(fleet, clock)
-    fleet.read(table)
+    identity = block_at_first_daemon(fleet, clock)
+    fleet.apply_rows_of(table)
     fleet.partitioned = {0, 1, 2, 3}
     clock.now += 21.0
     tried = [guard.admit(call(identity)) is None for guard in fleet.guards]
@@ -126,7 +129,7 @@
     """Guards against a call to an unavailable store for each of many requests."""
     table = Table()
     fleet = Fleet(clock, 1, table)
-    identity = block_at_one(fleet, clock)
+    identity = block_at_first_daemon(fleet, clock)
     guard = fleet.guards[0]
     guard.apply_rows(dict(table.rows))
     table.is_up = False
@@ -146,8 +149,8 @@
 def test_no_trial_while_the_store_is_unavailable(clock):
     table = Table()
     fleet = Fleet(clock, 3, table)
-    identity = block_at_one(fleet, clock)
-    fleet.read(table)
+    identity = block_at_first_daemon(fleet, clock)
+    fleet.apply_rows_of(table)
     table.is_up = False
     clock.now += 21.0
     refused = [guard.admit(call(identity)) for guard in fleet.guards]
@@ -158,12 +161,12 @@
 def test_a_block_survives_the_loss_of_all_daemons(clock):
     """Guards against three further crashes after a power failure of all daemons."""
     table = Table()
-    identity = block_at_one(Fleet(clock, 2, table), clock)
+    identity = block_at_first_daemon(Fleet(clock, 2, table), clock)
     assert len(table.rows) == 1
     clock.now += 5.0
-    newcomer = CrashGuard(Metrics(), table=BlockTable(table))
-    newcomer.apply_rows(dict(table.rows))
-    refused = newcomer.admit(call(identity))
+    restarted = CrashGuard(Metrics(), table=BlockTable(table))
+    restarted.apply_rows(dict(table.rows))
+    refused = restarted.admit(call(identity))
     assert isinstance(refused, Refuse)
     assert 14 < refused.retry_after < 16
 
@@ -172,7 +175,7 @@
     table = Table()
     table.is_up = False
     fleet = Fleet(clock, 2, table)
-    block_at_one(fleet, clock)
+    block_at_first_daemon(fleet, clock)
     assert not table.rows
     table.is_up = True
     fleet.guards[1].maintain_once()
@@ -182,8 +185,8 @@
 def test_an_operator_unblocks_a_request_by_removing_its_row(clock):
     table = Table()
     fleet = Fleet(clock, 2, table)
-    identity = block_at_one(fleet, clock)
-    fleet.read(table)
+    identity = block_at_first_daemon(fleet, clock)
+    fleet.apply_rows_of(table)
     table.rows.clear()
     for guard in fleet.guards:
         guard.apply_rows({})
@@ -195,8 +198,8 @@
 def test_an_operator_unblocks_a_request_at_any_daemon(clock):
     table = Table()
     fleet = Fleet(clock, 3, table)
-    identity = block_at_one(fleet, clock)
-    fleet.read(table)
+    identity = block_at_first_daemon(fleet, clock)
+    fleet.apply_rows_of(table)
     assert fleet.guards[2].lift(identity.content)
     gevent.sleep(0)
     assert not table.rows
@@ -206,7 +209,7 @@
 def test_a_partitioned_daemon_adopts_a_block_after_the_partition(clock):
     fleet = Fleet(clock, 3)
     fleet.partitioned = {2}
-    identity = block_at_one(fleet, clock)
+    identity = block_at_first_daemon(fleet, clock)
     assert isinstance(fleet.guards[1].admit(call(identity)), Refuse)
     assert fleet.guards[2].admit(call(identity)) is None
     fleet.partitioned = set()
@@ -259,9 +262,9 @@
     table = Table()
     guard = CrashGuard(Metrics(), table=BlockTable(table))
     for number in range(MAX_ROWS + 10):
-        for end in range(3):
-            at = clock.now + 0.2 * end
-            guard.note_crash(interrupted(request(f"/{number}"), f"i-{end}", at))
+        for crash in range(3):
+            at = clock.now + 0.2 * crash
+            guard.note_crash(interrupted(request(f"/{number}"), f"i-{crash}", at))
         gevent.sleep(0)
         guard.apply_rows(dict(table.rows))
     assert len(table.rows) == MAX_ROWS
--- a/tests/entry/callers/test_startup_retry.py
+++ b/tests/entry/callers/test_startup_retry.py
@@ -22,9 +22,9 @@
 def test_while_all_daemons_start_many_callers_retry_after_the_start(takes):
     """Guards against callers that use up their retries before any daemon has rules."""
     moments = [takes * n / 100 for n in range(100)]
-    back = [at + startup_retry().retry_after(100.0 + at) for at in moments]
-    assert sum(at >= takes for at in back) >= 40
-    assert max(back) <= takes + 0.5
+    retry_times = [at + startup_retry().retry_after(100.0 + at) for at in moments]
+    assert sum(at >= takes for at in retry_times) >= 40
+    assert max(retry_times) <= takes + 0.5
 
 
 def test_the_retry_delay_is_bounded_during_a_long_start():
--- a/tests/entry/changelog/test_configuration.py
+++ b/tests/entry/changelog/test_configuration.py
@@ -68,8 +68,8 @@
 
 def test_an_unknown_schema_version_keeps_the_records_in_effect():
     configuration, _ = make_configuration(ROWS[0])
-    strange = row(2, service_v1("b") | {"schema": 3})
-    error = configuration.apply(strange).error
+    unsupported = row(2, service_v1("b") | {"schema": 3})
+    error = configuration.apply(unsupported).error
     assert isinstance(error, CannotApply)
     assert isinstance(error.fault, UnknownSchemaVersion)
     assert configuration.revision == 1
@@ -100,7 +100,7 @@
         return self.configuration.records.to_snapshot()
 
 
-def make_distribution(configuration):
+def make_sync(configuration):
     me = Member("a", "z", "a:1", "a:2", 1, MemberState.ALIVE)
     membership = Membership(me, random.Random(1))
     notes = NoteRegistry(lambda *note: None)
@@ -111,7 +111,7 @@
 def test_missing_rows_are_fetched_from_a_peer():
     ahead, _ = make_configuration(*ROWS)
     configuration, seen = make_configuration(ROWS[0])
-    make_distribution(configuration).pull_from(FakePeer(ahead), 3)
+    make_sync(configuration).pull_from(FakePeer(ahead), 3)
     assert seen == [1, 2, 3]
 
 
@@ -120,14 +120,14 @@
     later = Configuration(lambda records: None)
     later.install_snapshot(ahead.records.to_snapshot())
     configuration, _ = make_configuration(ROWS[0])
-    make_distribution(configuration).pull_from(FakePeer(later), 3)
+    make_sync(configuration).pull_from(FakePeer(later), 3)
     assert configuration.records == ahead.records
 
 
 def test_a_lagging_peer_changes_nothing():
     behind, _ = make_configuration(ROWS[0])
     configuration, seen = make_configuration(*ROWS[:2])
-    make_distribution(configuration).pull_from(FakePeer(behind), 9)
+    make_sync(configuration).pull_from(FakePeer(behind), 9)
     assert seen == [1, 2]
 
 
@@ -138,7 +138,7 @@
     failure occurs if reading restarts because the head is never reached.
     """
     configuration, _ = make_configuration(ROWS[0])
-    distribution = make_distribution(configuration)
+    sync = make_sync(configuration)
 
     class Log:
         calls = 0
@@ -150,6 +150,6 @@
             self.calls += 1
             return Ok([row(2, service_v1("b") | {"schema": 3})])
 
-    distribution.changes = Log()
-    assert isinstance(distribution.refresh().error, TableUnavailable)
-    assert distribution.changes.calls == 1
+    sync.changes = Log()
+    assert isinstance(sync.refresh().error, TableUnavailable)
+    assert sync.changes.calls == 1
--- a/tests/entry/daemon/test_limits_of_targets.py
+++ b/tests/entry/daemon/test_limits_of_targets.py
@@ -13,14 +13,16 @@
 
 DAEMONS = {"e1": "zone-a", "e2": "zone-a", "e3": "zone-b"}
 TARGETS = ("a", "b", "c")
+# Requests per second.
 LIMIT = 2.6
-CONTACT_S = 3.0
+# Seconds after which a limit must be kept.
+LIMIT_DELAY_S = 3.0
 WINDOW_S = 4.0
-CALLERS_EACH = 3
+CALLERS_PER_DAEMON = 3
 PAUSE_S = 0.05
 
 
-def call_forever(daemon):
+def call_repeatedly(daemon):
     while True:
         daemon.call("callers", "GET", "/s/x")
         gevent.sleep(PAUSE_S)
@@ -31,9 +33,9 @@
     """Return a system with one service, and callers of all its daemons."""
     system = install(TARGETS, DAEMONS, service_ms=10)
     callers = [
-        gevent.spawn(call_forever, daemon)
+        gevent.spawn(call_repeatedly, daemon)
         for daemon in system.daemons.values()
-        for _ in range(CALLERS_EACH)
+        for _ in range(CALLERS_PER_DAEMON)
     ]
     yield system
     gevent.killall(callers)
@@ -52,8 +54,8 @@
 def test_a_limit_applies_to_all_daemons_until_its_target_removes_it(installed):
     wait_for(lambda: len(arrivals(installed, "a", 0.0)) > 20)
     set_at = set_limit(installed, "a", LIMIT)
-    gevent.sleep(CONTACT_S + WINDOW_S)
-    received = arrivals(installed, "a", set_at + CONTACT_S)
+    gevent.sleep(LIMIT_DELAY_S + WINDOW_S)
+    received = arrivals(installed, "a", set_at + LIMIT_DELAY_S)
     assert 0 < len(received) <= 1.5 * LIMIT * WINDOW_S + 5
     pages = [
         daemon.call("operators", "GET", "/metrics").body.decode()
--- a/tests/entry/following/test_following.py
+++ b/tests/entry/following/test_following.py
@@ -51,16 +51,16 @@
         seen = []
         feed = ScriptedFeed(*results)
 
-        def note(rows):
+        def record(rows):
             seen.append({key: item.version for key, item in rows.items()})
 
-        follower = Follower("rows", feed, note, random.Random(1))
+        follower = Follower("rows", feed, record, random.Random(1))
         return follower, feed, seen
 
     return start
 
 
-def play(follower, calls):
+def poll(follower, calls):
     return [follower.poll_once() for _ in range(calls)]
 
 
@@ -68,21 +68,21 @@
     follower, feed, seen = follow(
         batch(5, put("a", 3)), batch(7, put("b", 7)), batch(9, removed("a", 9))
     )
-    play(follower, 3)
+    poll(follower, 3)
     assert feed.calls == ["all", 5, 7]
     assert seen == [{"a": 3}, {"a": 3, "b": 7}, {"b": 7}]
 
 
 def test_an_answer_without_changes_has_no_effect(follow):
     follower, feed, seen = follow(batch(5, put("a", 3)), batch(6), batch(6))
-    play(follower, 3)
+    poll(follower, 3)
     assert feed.calls == ["all", 5, 6]
     assert len(seen) == 1
 
 
 def test_a_late_answer_does_not_restore_an_older_row(follow):
     follower, _, seen = follow(batch(5, put("a", 5)), batch(6, put("a", 4)))
-    play(follower, 2)
+    poll(follower, 2)
     assert seen == [{"a": 5}]
 
 
@@ -96,7 +96,7 @@
         Error(HistoryLost()),
         batch(50, put("b", 4)),
     )
-    pauses = play(follower, 3)
+    pauses = poll(follower, 3)
     assert feed.calls == ["all", 5, "all"]
     assert pauses[1] == 0
     assert seen[-1] == {"b": 4}
@@ -104,7 +104,7 @@
 
 def test_failures_are_retried_with_backoff_and_rows_are_kept(follow):
     follower, feed, seen = follow(batch(5, put("a", 3)), *[DOWN] * 8, batch(5))
-    pauses = play(follower, 10)
+    pauses = poll(follower, 10)
     assert feed.calls == ["all", *[5] * 9]
     assert seen == [{"a": 3}]
     assert max(pauses) <= _following.MAX_RETRY_S
@@ -113,7 +113,7 @@
 
 def test_a_feed_that_is_down_from_the_start_is_listed_when_it_is_up(follow):
     follower, feed, seen = follow(DOWN, DOWN, batch(5, put("a", 3)))
-    play(follower, 3)
+    poll(follower, 3)
     assert feed.calls == ["all"] * 3
     assert seen == [{"a": 3}]
 
@@ -131,7 +131,7 @@
         batch(8, removed("a", 7), removed("b", 8)),
         batch(9, put("a", 9)),
     )
-    play(follower, 4)
+    poll(follower, 4)
     assert seen[-1] == {"a": 9, "b": 4}
     while len(seen[-1]) > 1:
         gevent.sleep(0.01)
@@ -146,7 +146,7 @@
         Error(HistoryLost()),
         batch(90, put("b", 4)),
     )
-    play(follower, 4)
+    poll(follower, 4)
     assert seen == [{"a": 3, "b": 4}]
     while "a" in seen[-1]:
         gevent.sleep(0.01)
@@ -155,7 +155,7 @@
 
 def test_without_an_outage_a_removal_takes_effect_at_once(follow):
     follower, _, seen = follow(batch(5, put("a", 3)), batch(6, removed("a", 6)))
-    play(follower, 2)
+    poll(follower, 2)
     assert seen[-1] == {}
 
 
@@ -167,13 +167,13 @@
     gets an answer.
     """
     follower, feed, _ = follow(batch(5), batch(6), DOWN, DOWN, batch(6), batch(6))
-    play(follower, 6)
+    poll(follower, 6)
     assert [wait > 0 for wait in feed.waits] == [True, True, False, False, True]
 
 
 def test_waits_differ_to_desynchronise_instances(follow):
     follower, feed, _ = follow(batch(5), *[batch(5)] * 10)
-    play(follower, 11)
+    poll(follower, 11)
     assert len(set(feed.waits)) == 10
     longest = _following.MAX_WAIT_S
     shortest = _following.MIN_WAIT_SHARE * longest
@@ -199,7 +199,7 @@
     hanging = HangingFeed(batch(5, put("a", 3)), None, batch(7, removed("a", 7)))
     targets = Follower("targets", hanging, lambda rows: None, random.Random(1))
     rules.partners.append(targets)
-    play(rules, 2)
+    poll(rules, 2)
     task = gevent.spawn(targets.run)
     while len(hanging.calls) < 2:
         gevent.sleep(0.01)
@@ -227,7 +227,7 @@
     monkeypatch.setattr(_following, "MAX_WAIT_S", 0.05)
     feed = WaitingFeed(batch(5), batch(5), batch(6, put("a", 6)))
     follower = Follower("rows", feed, lambda rows: None, random.Random(1))
-    play(follower, 2)
+    poll(follower, 2)
     assert follower.confirmed_at >= follower._called_at + feed.waits[0]
     follower.poll_once()
     assert follower.confirmed_at == follower._called_at
@@ -250,7 +250,7 @@
     the store is back and rows have lapsed, but did not remember the outage.
     """
     follower, _, seen = follow(batch(5, put("a", 3)), DOWN, batch(7, removed("a", 7)))
-    play(follower, 2)
+    poll(follower, 2)
     follower._stand_by()
     follower.poll_once()
     assert seen == [{"a": 3}]
--- a/tests/entry/following/test_rules_exchange.py
+++ b/tests/entry/following/test_rules_exchange.py
@@ -15,23 +15,24 @@
 )
 from cairnferry.peers import PeerCallFailed
 
+# Bytes per second of a link of 10 Mbit/s.
 SLOW_LINK = 1_250_000.0
-DOCUMENT = 26_000
+DOCUMENT_BYTES = 26_000
 
 
 class Peer:
-    """Answers with a prepared update, or does not know the method."""
+    """Answers with a prepared update, or does not support the method."""
 
     address = "10.0.0.1:1"
 
-    def __init__(self, news, old_document=None):
-        self.news = news
+    def __init__(self, update, old_document=None):
+        self.update = update
         self.old_document = old_document
 
     def document_since(self, revision):
         if self.old_document is not None:
             raise PeerCallFailed(self.address, UNKNOWN_METHOD)
-        return self.news
+        return self.update
 
     def snapshot(self):
         return self.old_document
@@ -41,7 +42,8 @@
     """Guards against links that are filled by rules and carry no requests."""
     rate_limit = DocumentRateLimit(SLOW_LINK)
     sent = sum(
-        DOCUMENT * rate_limit.admit(DOCUMENT, 100 + n / 1000) for n in range(2000)
+        DOCUMENT_BYTES * rate_limit.admit(DOCUMENT_BYTES, 100 + n / 1000)
+        for n in range(2000)
     )
     assert sent < 2.2 * 0.5 * SLOW_LINK
     assert sent > 2.0 * 0.3 * SLOW_LINK
@@ -49,7 +51,7 @@
 
 def test_a_small_update_is_always_sent():
     rate_limit = DocumentRateLimit(SLOW_LINK)
-    while rate_limit.admit(DOCUMENT, 1.0):
+    while rate_limit.admit(DOCUMENT_BYTES, 1.0):
         pass
     assert rate_limit.admit(SMALL_BYTES, 1.0)
 
@@ -63,7 +65,7 @@
 
 def test_without_a_known_rate_everything_is_sent():
     rate_limit = DocumentRateLimit(math.inf)
-    assert all(rate_limit.admit(DOCUMENT, 1.0) for _ in range(100))
+    assert all(rate_limit.admit(DOCUMENT_BYTES, 1.0) for _ in range(100))
 
 
 def test_a_second_fetch_starts_only_if_the_first_is_slow():
--- a/tests/entry/http/test_causes.py
+++ b/tests/entry/http/test_causes.py
@@ -8,7 +8,7 @@
 
 @pytest.mark.parametrize("cause", Cause)
 def test_each_cause_has_an_answer(cause):
-    """A cause without an answer would close the connection without any answer."""
+    """Guards against a connection that is closed without an answer."""
     refused = not_run_answer(cause, 0.5)
     assert refused.status.startswith("503")
     assert str(cause).encode() in refused.body
--- a/tests/entry/http/test_closing.py
+++ b/tests/entry/http/test_closing.py
@@ -37,12 +37,12 @@
 
 
 def test_connection_accepted_while_closing_is_served(server, monkeypatch):
-    """A caller of a stopping daemon got 500 Internal Server Error.
+    """Guards against 500 Internal Server Error for a caller of a stopping daemon.
 
     The listener accepts a connection in the same turn of the event loop in which it is
-    closed, before the connection's task has run. Connections were only counted once
-    their tasks ran. None seemed to be left, and the task was killed in the middle of
-    its request.
+    closed, before the connection's task has run. The failure occurs if connections are
+    only counted once their tasks run: none seems to be left, and the task is killed in
+    the middle of its request.
     """
     near, far = connected()
     near.sendall(REQUEST)
--- a/tests/entry/http/test_http_server.py
+++ b/tests/entry/http/test_http_server.py
@@ -27,7 +27,7 @@
 @pytest.mark.parametrize(
     ("data", "status", "cause"),
     [
-        # Request smuggling: the rest of one request is taken for a request of another
+        # Request smuggling: the rest of one request is parsed as a request of another
         # caller. This happens if a request has two lengths, a length together with
         # chunks, or an unusual transfer coding, and the listener and the target
         # interpret it differently.
--- a/tests/entry/http/test_pipelining.py
+++ b/tests/entry/http/test_pipelining.py
@@ -12,10 +12,10 @@
 from cairnferry.standins import wait_for
 
 HOST = "127.0.0.1"
-MANY = 1000
+MANY_REQUESTS = 1000
 
 
-class HeldTarget:
+class DelayingTarget:
     """A target that records each request and can delay its answers.
 
     A request whose path contains "/held" is answered once `release` is called for it.
@@ -55,12 +55,12 @@
         file.read(length)
         self.seen.append(path)
         if "/held" in path:
-            self._hold(sock, path)
+            self._wait_for_release(sock, path)
         body = f"<{path}>".encode()
         sock.sendall(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body))
         sock.sendall(body)
 
-    def _hold(self, sock, path):
+    def _wait_for_release(self, sock, path):
         gate = self._gates[path] = Event()
         watch = gevent.spawn(sock.recv, 1)
         gevent.wait([gate, watch], count=1)
@@ -72,7 +72,7 @@
 
 @pytest.fixture
 def target():
-    made = HeldTarget()
+    made = DelayingTarget()
     yield made
     made.stop()
 
@@ -110,10 +110,10 @@
 def test_idempotent_requests_run_concurrently_and_are_answered_in_order(
     caller, target, read_until
 ):
-    """Each request of a caller waited for the answer to the one before it.
+    """Guards against requests that each wait for the answer to the one before.
 
-    Three requests come in one packet, and the later ones finish first. A request was
-    only read once the one before it was answered.
+    Three requests come in one packet, and the later ones finish first. The failure
+    occurs if a request is only read once the one before it is answered.
     """
     paths = ["/s/held/0", "/s/held/1", "/s/2"]
     caller.sendall(b"".join(get(path) for path in paths))
@@ -126,7 +126,7 @@
 def test_non_idempotent_request_waits_and_delays_those_after_it(
     caller, target, read_until
 ):
-    """A purchase must not run before a look-up that the caller sent earlier.
+    """Guards against a purchase that runs before a lookup that was sent earlier.
 
     If such requests ran concurrently, the order of those that change something would
     be lost.
@@ -147,7 +147,7 @@
 
 
 def test_requests_after_one_that_closes_do_not_run(caller, target, read_to_end):
-    """A request could run twice.
+    """Guards against a request that runs twice.
 
     After an answer that closes the connection, the caller assumes that its later
     requests were not read, and sends them again.
@@ -166,11 +166,11 @@
 def test_forwarded_requests_are_answered_before_a_closing_listener_ends(
     entry, caller, target, read_to_end, read_until
 ):
-    """A caller of a stopping daemon lost the answer to a request that had run.
+    """Guards against a lost answer to a request that ran as its daemon stopped.
 
     Two requests run and a purchase waits behind them when the daemon starts to stop.
-    The first answer announced the end of the connection although another one was to
-    follow.
+    The failure occurs if the first answer announces the end of the connection although
+    another one follows.
     """
     caller.sendall(get("/s/held/0") + get("/s/held/1") + post("/s/2"))
     wait_for(lambda: len(target.seen) == 2)
@@ -198,9 +198,10 @@
 
 
 def test_requests_are_cancelled_when_their_caller_disconnects(entry, caller, target):
-    """Targets worked for callers that were gone.
+    """Guards against targets that work for callers that have disconnected.
 
-    The end of the input was noticed only after every request before it was read.
+    The failure occurs if the end of the input is only detected once all requests before
+    it are read.
     """
     caller.sendall(get("/s/held/0") + get("/s/held/1") + post("/s/2"))
     wait_for(lambda: len(target.seen) == 2)
@@ -222,8 +223,8 @@
 def test_read_ahead_is_limited_and_all_requests_are_answered(
     entry, caller, target, read_until
 ):
-    """One caller could exhaust the memory, or occupy the slots of all targets."""
-    paths = [f"/s/{i}" for i in range(MANY)]
+    """Guards against one caller that exhausts memory or the slots of all targets."""
+    paths = [f"/s/{i}" for i in range(MANY_REQUESTS)]
     most = 0
 
     def watch():
@@ -234,7 +235,7 @@
 
     watcher = gevent.spawn(watch)
     sender = gevent.spawn(caller.sendall, b"".join(get(path) for path in paths))
-    assert bodies(read_until(caller, b"</s/%d>" % (MANY - 1))) == paths
+    assert bodies(read_until(caller, b"</s/%d>" % (MANY_REQUESTS - 1))) == paths
     sender.get()
     watcher.kill()
     assert 0 < most <= 32
@@ -242,9 +243,12 @@
 
 
 def test_caller_that_does_not_read_delays_only_itself(entry, caller, target):
-    """Other callers would wait if unread answers were held without a limit, or if one
-    task wrote the answers of all connections."""
-    data = b"".join(get(f"/s/{i}?{'y' * 2000}") for i in range(2 * MANY))
+    """Guards against callers that wait for another one which does not read.
+
+    The failure occurs if unread answers are held without a limit, or if one task writes
+    the answers of all connections.
+    """
+    data = b"".join(get(f"/s/{i}?{'y' * 2000}") for i in range(2 * MANY_REQUESTS))
     sender = gevent.spawn(caller.sendall, data)
     wait_for(lambda: len(target.seen) > 100)
     before = -1
@@ -270,8 +274,11 @@
 def test_malformed_request_after_a_valid_one_is_answered_in_order(
     bad, status, caller, target, read_to_end
 ):
-    """The answer to a valid request was lost, because the error for the next request
-    was written at once and the connection was closed."""
+    """Guards against a lost answer to a valid request.
+
+    The failure occurs if the error for the next request is written at once and the
+    connection is closed.
+    """
     caller.sendall(get("/s/held/0") + bad)
     wait_for(lambda: target.seen)
     for _ in range(20):
@@ -285,7 +292,7 @@
 
 
 def test_100_continue_is_sent_after_the_answers_before_it(caller, target, read_until):
-    """A caller could take "100 Continue" for the answer to an earlier request."""
+    """Guards against "100 Continue" in place of the answer to an earlier request."""
     expecting = _request("PUT", "/s/1", ["Content-Length: 2", "Expect: 100-continue"])
     caller.sendall(get("/s/held/0") + expecting)
     wait_for(lambda: target.seen)
@@ -299,9 +306,10 @@
 
 
 def test_idle_time_counts_from_the_last_answer(entry, caller, target, read_until):
-    """A connection was closed just as its caller used it again.
+    """Guards against a connection that is closed just as its caller reuses it.
 
-    The idle time was counted from the start of the last request, which took most of it.
+    The failure occurs if the idle time counts from the start of the last request, which
+    takes most of it.
     """
     limit = entry.server.limits.idle_s
     caller.sendall(get("/s/held/0"))
--- a/tests/entry/members/test_enrolment.py
+++ b/tests/entry/members/test_enrolment.py
@@ -1,4 +1,4 @@
-"""Enrolment: daemons discover each other and share one key by a registry."""
+"""Enrolment: daemons discover each other and share one key through a registry."""
 
 import random
 
@@ -29,7 +29,7 @@
     before: int = 0
     after: int = 0
 
-    def _do(self, action):
+    def _run(self, action):
         if self.before:
             self.before -= 1
             return Error(DOWN)
@@ -44,7 +44,7 @@
             self.rows[me.name] = me
             return Ok(None)
 
-        return self._do(action)
+        return self._run(action)
 
     def write_first(self, me, key):
         def action():
@@ -54,14 +54,14 @@
             self.rows[me.name] = me
             return Ok(None)
 
-        return self._do(action)
+        return self._run(action)
 
     def restore_key(self, key):
         self.key = self.key or key
         return Ok(None)
 
     def read(self):
-        return self._do(
+        return self._run(
             lambda: Ok(RegistryContents(self.key, tuple(self.rows.values())))
         )
 
@@ -71,7 +71,7 @@
                 self.rows.pop(name, None)
             return Ok(None)
 
-        return self._do(action)
+        return self._run(action)
 
 
 class Peers:
@@ -153,16 +153,16 @@
 
 
 def group(registry, *names):
-    """Enrol daemons that know each other."""
-    made = []
+    """Enrol daemons that see each other."""
+    enrolments = []
     for name in names:
         enrolled, _, peers = enrolment(registry, name)
         enrolled.enrol()
-        made.append((enrolled, peers))
-    for enrolled, peers in made:
+        enrolments.append((enrolled, peers))
+    for enrolled, peers in enrolments:
         enrolled.refresh()
         peers.merge(*names)
-    return made
+    return enrolments
 
 
 def test_a_leaving_daemon_removes_its_row():
@@ -179,13 +179,13 @@
     An instance is removed without a clean shutdown, and its row stays in the registry.
     """
     registry = MemoryRegistry()
-    made = group(registry, "a", "bb", "ccc", "dddd")
-    for enrolled, peers in made[:3]:
+    enrolments = group(registry, "a", "bb", "ccc", "dddd")
+    for enrolled, peers in enrolments[:3]:
         peers.merge("dddd", state=MemberState.GONE)
         enrolled.maintain(0.0)
         enrolled.maintain(_enrolment.STALE_ROW_S - 1)
     assert "dddd" in registry.rows
-    for enrolled, peers in reversed(made[:3]):
+    for enrolled, peers in reversed(enrolments[:3]):
         assert "dddd" in registry.rows
         enrolled.maintain(_enrolment.STALE_ROW_S)
         assert set(peers.listed) == {"a", "bb", "ccc"}
--- a/tests/entry/members/test_gossip.py
+++ b/tests/entry/members/test_gossip.py
@@ -27,8 +27,8 @@
     def hold_for(self, seconds):
         self.grace_left = max(self.grace_left, seconds)
 
-    def apply_update(self, news):
-        return self.copy.apply_update(news)
+    def apply_update(self, update):
+        return self.copy.apply_update(update)
 
 
 class Links:
@@ -77,8 +77,8 @@
     return start
 
 
-def everyone(but):
-    near = [member(name) for name in NEAR if name != but]
+def all_except(excluded):
+    near = [member(name) for name in NEAR if name != excluded]
     return near + [member(name, "yard") for name in FAR]
 
 
@@ -91,8 +91,8 @@
 
 @pytest.fixture
 def zones(start):
-    """Return the daemons of the first of two zones, which know each other."""
-    made = {name: start(name, everyone(name)) for name in NEAR}
+    """Return the daemons of the first of two zones, which see each other."""
+    made = {name: start(name, all_except(name)) for name in NEAR}
     yard = [member(name, "yard") for name in FAR] + [member(n) for n in NEAR[:8]]
     for name in FAR:
         start(name, [m for m in yard if m.name != name], "yard")
@@ -134,8 +134,8 @@
     assert len(fetcher.cluster.tables["targets"].copy.rows) == 300
     change = Batch((Row("i-0", None, 500),), 500)
     source.cluster.tables["targets"].copy.apply_changes(change)
-    news = source.news_since("targets", 400)
-    assert news == TableUpdate(False, (Row("i-0", None, 500),), 500)
+    update = source.news_since("targets", 400)
+    assert update == TableUpdate(False, (Row("i-0", None, 500),), 500)
     calls_of(fetcher, links)
     assert ("targets", 400) in links.called
     assert calls_of(fetcher, links) == [False]
@@ -182,8 +182,8 @@
 def test_a_daemon_refutes_its_loss_as_reported_by_another_zone(start):
     """Guards against an instance that another zone never uses again after a partition.
 
-    Calls from the yard to e1 fail for a while, and the yard declares e1 lost; the zone
-    of e1 notices nothing. The yard reported its own members only, so that e1 had
+    Calls from zone yard to e1 fail for a while, and yard declares e1 lost; the zone
+    of e1 notices nothing. Zone yard reported its own members only, so that e1 had
     nothing to refute.
     """
     first = start("e1", [member("e2"), member("y1", "yard")])
--- a/tests/entry/members/test_joining.py
+++ b/tests/entry/members/test_joining.py
@@ -38,7 +38,7 @@
             self.rows.update({entry.name: entry for entry in entries})
             return Ok(None)
 
-        return self._do(action)
+        return self._run(action)
 
 
 def row(name, zone="hall"):
@@ -103,7 +103,7 @@
 
 
 def test_rows_of_joined_daemons_are_written_after_an_outage(registry, seed):
-    """Guards against instances, started in an outage, that no other one finds later."""
+    """Guards against instances that start in an outage and are never found later."""
     first, _ = seed
     registry.before = 3
     first.accept(row("bb"))
@@ -114,7 +114,7 @@
 def test_a_joining_daemon_counts_instances_it_does_not_know_yet(seed):
     """Guards against retries above their budget after a restart of all instances.
 
-    Each instance knows some twenty others at first. If it counts these only, the slack
+    Each instance sees some twenty others at first. If it counts these only, the slack
     of the common budget is used many times over.
     """
     first, address = seed
--- a/tests/entry/members/test_permit_issuers.py
+++ b/tests/entry/members/test_permit_issuers.py
@@ -28,7 +28,7 @@
 @pytest.mark.parametrize("target", [f"i-{number}" for number in range(6)])
 def test_all_daemons_select_the_same_issuer_in_the_target_s_zone(target):
     selected = {view(name).issuer_for(target, "hall").name for name in HALL}
-    # A daemon of another zone knows few members of this one and uses the list.
+    # A daemon of another zone sees few members of this one and uses the list.
     selected.add(view("y1", "yard", unknown=HALL).issuer_for(target, "hall").name)
     (issuer,) = selected
     assert issuer in HALL
--- a/tests/entry/targets/test_limiter.py
+++ b/tests/entry/targets/test_limiter.py
@@ -35,13 +35,13 @@
     return Clock
 
 
-def make():
+def make_limiter():
     broadcaster = Broadcaster()
     return Limiter(TargetLimits(), Metrics(), broadcaster.broadcast), broadcaster
 
 
 def test_a_limit_is_broadcast_only_when_it_is_advertised_changed_or_lifted(clock):
-    limiter, broadcaster = make()
+    limiter, broadcaster = make_limiter()
     for number, limit in enumerate([2.6, 2.6, 2.6, 4.0, NO_LIMIT, NO_LIMIT]):
         clock.now = 101.0 + number
         limiter.note_check("i-1", limit, clock.now - 0.1)
@@ -52,7 +52,7 @@
 
 
 def test_malformed_limits_are_counted_and_ignored(clock):
-    limiter, broadcaster = make()
+    limiter, broadcaster = make_limiter()
     limiter.note_check("i-1", 2.6, 99.0)
     clock.now = 102.0
     limiter.note_check("i-1", LimitFault("many"), 101.0)
@@ -63,7 +63,7 @@
 
 
 def test_a_lower_limit_discards_earlier_permits(clock):
-    limiter, _ = make()
+    limiter, _ = make_limiter()
     limiter.note_check("i-1", 100.0, 99.0)
     limiter.limits.add_permits("i-1", [100.0] * 50)
     clock.now = 101.0
@@ -81,7 +81,7 @@
 
 @pytest.mark.parametrize("source", ["limit x", "limit nan", "limit -1", "pace 2", ""])
 def test_a_note_in_an_unknown_format_is_ignored(source, clock):
-    limiter, _ = make()
+    limiter, _ = make_limiter()
     limiter.receive("i-1", source, 100.0 + LIMIT_NOTE_S)
     assert not limiter.limits
 
@@ -95,7 +95,7 @@
     ]
     rates = set()
     for order in itertools.permutations(limits):
-        limiter, _ = make()
+        limiter, _ = make_limiter()
         registry = limit_note_registry(limiter.receive)
         for limit in order:
             registry.post(limit_note("i-1", limit, clock.now), clock.now, 18)
@@ -104,7 +104,7 @@
 
 
 def test_limits_of_targets_that_are_gone_are_dropped(clock):
-    limiter, _ = make()
+    limiter, _ = make_limiter()
     limiter.note_check("i-1", 2.6, 99.0)
     clock.now = 300.0
     limiter.forget_unlisted(set())
--- a/tests/entry/targets/test_permits.py
+++ b/tests/entry/targets/test_permits.py
@@ -119,7 +119,7 @@
     return daemon
 
 
-def requested(target, per_s=4.0, age=0.1, count=1, returned=0):
+def query_for(target, per_s=4.0, age=0.1, count=1, returned=0):
     return PermitQuery(LimitState(target, per_s, age), "hall", count, returned)
 
 
@@ -140,17 +140,13 @@
     assert daemon.limiter.limits.admits("i-0", clock.now)
 
 
-def test_the_issuer_learns_the_limit_from_the_request_for_permits(
-    daemon, issuer, clock
-):
+def test_the_issuer_gets_the_limit_from_the_request_for_permits(daemon, issuer, clock):
     daemon.arrive(2, clock.now)
     daemon.request_permits()
     assert issuer.limiter.limits.advertised.rate("i-0") == 4.0
 
 
-def test_the_requester_learns_from_the_answer_that_a_limit_was_lifted(
-    daemon, issuer, clock
-):
+def test_the_answer_reports_a_lifted_limit_to_the_requester(daemon, issuer, clock):
     issuer.limiter.merge("i-0", AdvertisedLimit(NO_LIMIT, clock.now + 0.1), by="test")
     daemon.arrive(2, clock.now)
     daemon.request_permits()
@@ -160,7 +156,7 @@
 
 def test_a_daemon_that_is_not_the_issuer_grants_no_permits(issuer, clock):
     issuer.issuers.is_mine = False
-    (granted,) = issuer.issue("d", [requested("i-0")])
+    (granted,) = issuer.issue("d", [query_for("i-0")])
     assert granted.delays == ()
     assert granted.retry_s > 0
 
@@ -191,12 +187,12 @@
 
 def test_an_issuer_grants_no_more_than_its_visible_share(issuer, clock):
     issuer.issuers.share = 0.25
-    issuer.issue("d", [requested("i-0")])
+    issuer.issue("d", [query_for("i-0")])
     clock.now += 2.0
     starts = []
     for _ in range(200):
         clock.now += 0.05
-        (granted,) = issuer.issue("d", [requested("i-0", count=8)])
+        (granted,) = issuer.issue("d", [query_for("i-0", count=8)])
         starts += [clock.now + delay for delay in granted.delays]
     assert len(starts) <= 10.0 * 4.0 * 0.25 + 2
 
@@ -206,12 +202,12 @@
     issuer.limiter.broadcast = lambda note, again: announced.append(again)
     for _ in range(120):
         clock.now += 0.1
-        issuer.issue("d", [requested("i-0")])
+        issuer.issue("d", [query_for("i-0")])
     assert announced == [True, True]
 
 
 def test_schedules_without_requests_are_dropped(issuer, clock):
-    issuer.issue("d", [requested("i-0")])
+    issuer.issue("d", [query_for("i-0")])
     issuer.drop_unused(clock.now + 10.0)
     assert len(issuer._schedules) == 1
     issuer.drop_unused(clock.now + 60.0)
--- a/tests/entry/telemetry/test_log_lines.py
+++ b/tests/entry/telemetry/test_log_lines.py
@@ -25,10 +25,10 @@
 
 @pytest.fixture
 def handler(pipe):
-    made = LineHandler(pipe[1])
-    made.setFormatter(logging.Formatter("%(levelname)s %(message)s"))
-    yield made
-    made.close()
+    line_handler = LineHandler(pipe[1])
+    line_handler.setFormatter(logging.Formatter("%(levelname)s %(message)s"))
+    yield line_handler
+    line_handler.close()
 
 
 def emit(handler, text, level=logging.INFO):
@@ -98,7 +98,7 @@
 
 
 def test_handler_survives_the_end_of_its_reader(pipe, handler):
-    """The daemon would crash when the log collector is restarted."""
+    """Guards against a daemon that crashes when the log collector restarts."""
     os.close(pipe[0])
     while not handler.dropped:
         # gevent closes a descriptor in a later turn of its loop.
--- a/tests/entry/telemetry/test_metrics.py
+++ b/tests/entry/telemetry/test_metrics.py
@@ -4,7 +4,7 @@
 
 
 def test_one_histogram_is_created_per_service(monkeypatch):
-    """A histogram created for each request and then discarded would waste CPU time."""
+    """Guards against wasted CPU time for a histogram that is discarded each time."""
     created = []
     histogram = _metrics.HdrHistogram
 
--- a/tests/golden/test_sessions.py
+++ b/tests/golden/test_sessions.py
@@ -71,7 +71,9 @@
     transcript = []
 
     def run_ctl(*arguments):
-        done = system.run_ctl(*[files.get(word, word) for word in arguments])
+        done = system.run_ctl(
+            *[files.get(argument, argument) for argument in arguments]
+        )
         transcript.append(f"$ cairnferry {' '.join(arguments)}\n")
         text = done.stdout + done.stderr
         for name, path in files.items():
--- a/tests/peers/test_peers.py
+++ b/tests/peers/test_peers.py
@@ -1,4 +1,4 @@
-"""Test the peer protocol: authentication, bounded frames, one answer for each call."""
+"""Peer protocol: authentication, bounded frames, one answer for each call."""
 
 import random
 import struct
@@ -138,17 +138,17 @@
 
 
 def test_a_server_that_does_not_prove_the_key_is_rejected(keys):
-    """Guard against an impostor that sends a daemon its configuration.
+    """Guards against an impostor that sends a daemon its configuration.
 
-    Another program listens at a peer's address. This happened when only the client
-    had to prove that it has the key.
+    Another program listens at a peer's address. The failure occurs if only the client
+    has to prove that it has the key.
     """
 
-    def pretend(sock, address):
+    def impersonate(sock, address):
         sock.recv(100)
         sock.sendall(b"\x00" * 64)
 
-    impostor = gevent.server.StreamServer(("127.0.0.1", 0), pretend)
+    impostor = gevent.server.StreamServer(("127.0.0.1", 0), impersonate)
     impostor.start()
     link = PeerLink(
         f"127.0.0.1:{impostor.server_port}", keys("client", OLD_KEY), ByteMeter(), 5
@@ -189,10 +189,10 @@
 
 
 def test_a_late_answer_is_not_taken_for_that_of_the_next_call(server, handler, keys):
-    """Guard against a daemon that applies an outdated state of its peer.
+    """Guards against a daemon that applies an outdated state of its peer.
 
-    A call times out, and its answer arrives while the next call waits. This happened
-    when the connection stayed open after a timeout.
+    A call times out, and its answer arrives while the next call waits. The failure
+    occurs if the connection stays open after a timeout.
     """
     link = link_to(server, keys("client", OLD_KEY), timeout=0.05)
     handler.pause = 0.1
--- a/tests/policy/_helpers.py
+++ b/tests/policy/_helpers.py
@@ -42,7 +42,7 @@
 
 
 def warm_up(policy, latency=0.01, count=40):
-    """Let requests end until latencies are known; return the time after the last."""
+    """Let requests finish until latencies are known; return the time after the last."""
     now = 0.0
     for _ in range(count):
         attempt = send(policy, now)
--- a/tests/policy/_status_checks.py
+++ b/tests/policy/_status_checks.py
@@ -38,8 +38,8 @@
     """Let the first of three targets fail until it is ejected; return the policy."""
     for index in range(4):
         now = 1.0 + index / 10
-        busy = dict.fromkeys(["n1", "n2"], LoadReport(3))
-        decision, _ = decide(policy, call(now=now), now=now, **busy)
+        others = dict.fromkeys(["n1", "n2"], LoadReport(3))
+        decision, _ = decide(policy, call(now=now), now=now, **others)
         policy.finished(decision.attempt, Answered(failed=True), now + 0.01)
     assert policy._targets._usable.ejected
     return policy
@@ -88,7 +88,7 @@
 
 
 def train_route(policy, route, seconds, rank=1, start=0.0):
-    """Let requests of a route end, each after the given time in seconds."""
+    """Let requests of a route finish, each after the given time in seconds."""
     for index in range(30):
         now = start + index * 0.02
         req = call(now=now, route=route, rank=rank)
--- a/tests/policy/choice/test_choice.py
+++ b/tests/policy/choice/test_choice.py
@@ -26,7 +26,7 @@
 
 
 def count_requests(policy, now, count=400, latency=0.01):
-    """Count the requests that each target gets, if requests end at once."""
+    """Count the requests that each target gets if requests finish at once."""
     counts = {target.name: 0 for target in policy._targets}
     for _ in range(count):
         now += latency
@@ -143,7 +143,8 @@
 def test_requests_in_flight_are_counted_correctly_after_a_target_is_replaced():
     """Guards against internal errors after the address of a target changes.
 
-    Answers to requests at the earlier address must not be counted off the new target.
+    Answers to requests at the earlier address must not be subtracted from the count of
+    the new target.
     """
     policy = make_policy(1)
     attempt = send(policy)
--- a/tests/policy/shared/test_quarantine.py
+++ b/tests/policy/shared/test_quarantine.py
@@ -31,7 +31,7 @@
 
 
 def crash(number, at, req=None, caller=None):
-    """Return a crash at the time `at`, under a run of a tenth of a second."""
+    """Return a crash at time `at`, RUN_S seconds after the request began to run."""
     tag = caller or (req or request()).caller_tag
     return TargetCrash(f"i-{number}", tag, at - RUN_S, at)
 
@@ -285,9 +285,9 @@
 def test_a_flood_of_requests_that_crash_targets_keeps_the_bound_and_blocks(daemon):
     blocked = request("/s/blocked")
     daemon.crashes(blocked, 1.0, 1.2, 1.4)
-    for number in range(3 * quarantine_module.MAX_CASES):
+    for number in range(3 * quarantine_module.MAX_REQUESTS):
         daemon.crashes(request(f"/s/{number}"), 2.0 + number / 1000)
-    assert len(daemon.quarantine) == quarantine_module.MAX_CASES
+    assert len(daemon.quarantine) == quarantine_module.MAX_REQUESTS
     assert isinstance(daemon.check(blocked, 9.0), Quarantined)
     many = request("/s/many")
     daemon.crashes(many, *(10.0 + 0.01 * n for n in range(100)))
@@ -375,7 +375,7 @@
 
 
 def verdicts_around_an_answer(a, b, crashed_runs, at):
-    """Return who is blocked if the response to `a` is reported before or after crashes.
+    """Return which callers are blocked, with the response to `a` first or last.
 
     Parameters
     ----------
@@ -391,8 +391,10 @@
         daemon = Daemon()
         if answered_first:
             daemon.answer(a, at)
-        for number, (req, ended) in enumerate(crashed_runs):
-            daemon.quarantine.note_crash(req.content, crash(number, ended, req), 41.0)
+        for number, (req, crashed_at) in enumerate(crashed_runs):
+            daemon.quarantine.note_crash(
+                req.content, crash(number, crashed_at, req), 41.0
+            )
             daemon.quarantine.block_if_proven(req.content, 41.0)
         if not answered_first:
             daemon.answer(a, at)
--- a/tests/policy/test_hedging.py
+++ b/tests/policy/test_hedging.py
@@ -34,8 +34,8 @@
 def test_request_at_an_unresponsive_target_is_hedged():
     """Guards against idempotent requests that wait for a crashed target.
 
-    If the machine of a target fails while the request runs, the connection gives no
-    sign, and the request would wait up to its deadline although 19 other targets work.
+    If the machine of a target fails while the request runs, the connection reports no
+    error, and the request would wait up to its deadline although 19 other targets work.
     """
     policy = policy_of(*near(4))
     train_route(policy, "r", 0.1)
--- a/tests/policy/test_loads.py
+++ b/tests/policy/test_loads.py
@@ -13,7 +13,7 @@
 STATUS_CHECKS = settings_for("ask-first")
 
 
-def in_time(load, settings, site=SITES["six slots"], seeds=SEEDS):
+def share_in_time(load, settings, site=SITES["six slots"], seeds=SEEDS):
     results = [play(LOADS[load], settings, seed, site=site) for seed in seeds]
     return sum(result.share(Outcome.IN_TIME) for result in results) / len(seeds)
 
@@ -32,9 +32,9 @@
     Other workloads on the targets' machines change their speed several times a second,
     so that the report in an earlier answer is no longer valid.
     """
-    ours = in_time(load, STATUS_CHECKS)
-    assert ours > in_time(load, settings_for("two-choices")) + 0.05
-    assert ours > in_time(load, settings_for("random")) + 0.05
+    ours = share_in_time(load, STATUS_CHECKS)
+    assert ours > share_in_time(load, settings_for("two-choices")) + 0.05
+    assert ours > share_in_time(load, settings_for("random")) + 0.05
 
 
 @pytest.mark.parametrize("load", ["burst", "slow targets", "scale-in"])
@@ -45,8 +45,10 @@
     see `unconditional_share`.
     """
     site = SITES["two slots"]
-    reserved = in_time(load, with_checks(unconditional_share=0.8), site, MANY_SEEDS)
-    assert in_time(load, STATUS_CHECKS, site, MANY_SEEDS) > reserved + 0.02
+    reserved = share_in_time(
+        load, with_checks(unconditional_share=0.8), site, MANY_SEEDS
+    )
+    assert share_in_time(load, STATUS_CHECKS, site, MANY_SEEDS) > reserved + 0.02
 
 
 @pytest.mark.parametrize("load", ["steady", "burst", "scale-in"])
@@ -55,7 +57,7 @@
 
     A target with a single slot would never be used if a share of it had to stay free.
     """
-    assert in_time(load, STATUS_CHECKS, SITES["one zone"]) > 0.55
+    assert share_in_time(load, STATUS_CHECKS, SITES["one zone"]) > 0.55
 
 
 @pytest.mark.parametrize("load", ["steady", "scale-in"])
--- a/tests/policy/test_pressure.py
+++ b/tests/policy/test_pressure.py
@@ -89,13 +89,13 @@
 def test_retry_after_of_refused_requests_is_spread_and_meets_the_objective():
     policy = policy_of(*near(3))
     train_route(policy, "r", 0.1)
-    returns = []
+    retry_delays = []
     for _ in range(20):
         req = call(now=2.0, objective=2.3, route="r")
         decision, _ = decide(policy, req, now=2.0, **busy(9))
-        returns.append(decision.retry_after)
-    assert len(set(returns)) > 10
-    assert all(0.05 <= after <= 0.15 for after in returns)
+        retry_delays.append(decision.retry_after)
+    assert len(set(retry_delays)) > 10
+    assert all(0.05 <= after <= 0.15 for after in retry_delays)
 
 
 def test_retry_after_of_a_shed_request_meets_the_objective():
--- a/tests/policy/test_restarts.py
+++ b/tests/policy/test_restarts.py
@@ -57,7 +57,8 @@
 def test_answer_of_the_earlier_run_does_not_affect_the_new_run():
     """Guards against a wrong number of requests in flight at a restarted target.
 
-    The answer to a request of the earlier run must not be counted off the new one.
+    The answer to a request of the earlier run must not be subtracted from the count of
+    the new one.
     """
     policy, attempt = restarted_policy()
     decision, _ = decide_identified(policy, call(now=1.2), now=1.2)
--- a/tests/policy/usable/test_evacuation.py
+++ b/tests/policy/usable/test_evacuation.py
@@ -30,8 +30,8 @@
     for number in range(10):
         now = 1.0 + number
         decision, rounds = decide(policy, call(now=now), now=now)
-        asked = {name for names in rounds for name in names}
-        assert {name[0] for name in asked | {decision.attempt.target_name}} == {"f"}
+        checked = {name for names in rounds for name in names}
+        assert {name[0] for name in checked | {decision.attempt.target_name}} == {"f"}
         policy.finished(decision.attempt, Answered(), now + 0.05)
     policy.evacuate(frozenset())
     decision, _ = decide(policy, call(now=20.0), now=20.0)
--- a/tests/policy/usable/test_leaving.py
+++ b/tests/policy/usable/test_leaving.py
@@ -23,8 +23,8 @@
 LEAVING_FOR_EVER = TargetAdvisory(leaving_s=math.inf)
 
 
-def leave(policy, name, now=1.0, words=LEAVING_FOR_EVER):
-    policy.note_advisory(name, words, now)
+def leave(policy, name, now=1.0, advisory=LEAVING_FOR_EVER):
+    policy.note_advisory(name, advisory, now)
 
 
 def chosen(policy, now, count=12):
@@ -79,7 +79,7 @@
 def test_the_announcement_expires_if_starts_have_no_identity():
     """Guards against a target that is never used again under its name."""
     policy = policy_of(*near(2))
-    leave(policy, "n0", words=TargetAdvisory(leaving_s=30.0))
+    leave(policy, "n0", advisory=TargetAdvisory(leaving_s=30.0))
     assert "n0" not in chosen(policy, 30.9)
     assert "n0" in chosen(policy, 31.1)
 
@@ -105,8 +105,8 @@
 
 def test_a_leaving_target_is_reported_once():
     policy = policy_of(*near(2))
-    policy.note_advisory("n0", LEAVING_FOR_EVER, 1.0, heard_by="req-1")
-    policy.note_advisory("n0", LEAVING_FOR_EVER, 2.0, heard_by="req-2")
+    policy.note_advisory("n0", LEAVING_FOR_EVER, 1.0, request_id="req-1")
+    policy.note_advisory("n0", LEAVING_FOR_EVER, 2.0, request_id="req-2")
     (event,) = policy.take_events()
     assert (event.target, str(event.condition)) == ("n0", "is leaving")
     assert event.inputs == {"heard_by": "req-1"}
--- a/tests/policy/usable/test_limited_targets.py
+++ b/tests/policy/usable/test_limited_targets.py
@@ -143,7 +143,7 @@
 
 
 def test_a_limited_target_keeps_its_state_while_it_gets_no_requests():
-    """It is neither ejected nor silent, and gets its share at once afterwards."""
+    """The target is neither ejected nor silent, and then gets its share at once."""
     policy = policy_of(*near(2))
     limit(policy, "n0")
     for number in range(50):
@@ -224,7 +224,7 @@
     assert decision.attempt.target_name == "t4"
 
 
-def urgent_and_other(policy):
+def record_arrivals(policy):
     """Record arrivals of requests of two ranks."""
     policy._work.note_arrival("orders", 1)
     policy._work.note_arrival("lookups", 2)
@@ -233,7 +233,7 @@
 def test_if_all_targets_are_limited_urgent_requests_get_permits_first():
     """Guards against orders that are refused while earlier lookups are served."""
     policy = policy_of(*near(1))
-    urgent_and_other(policy)
+    record_arrivals(policy)
     limit(policy, "n0")
     policy.limits.add_permits("n0", [1.0])
     lookup, _ = decide(policy, call(now=1.02, route="lookups", rank=2), now=1.02)
@@ -244,7 +244,7 @@
 
 def test_a_permit_that_no_urgent_request_uses_is_open_to_any():
     policy = policy_of(*near(1))
-    urgent_and_other(policy)
+    record_arrivals(policy)
     limit(policy, "n0")
     policy.limits.add_permits("n0", [1.0])
     lookup, _ = decide(policy, call(now=1.2, route="lookups", rank=2), now=1.2)
@@ -253,7 +253,7 @@
 
 def test_less_urgent_requests_get_a_share_if_urgent_ones_could_use_all_permits():
     policy = policy_of(*near(1))
-    urgent_and_other(policy)
+    record_arrivals(policy)
     limit(policy, "n0", per_s=10.0)
     served = 0
     for number in range(30):
@@ -270,7 +270,7 @@
 
 def test_no_permits_are_reserved_if_some_targets_have_no_limit():
     policy = policy_of(*near(2))
-    urgent_and_other(policy)
+    record_arrivals(policy)
     limit(policy, "n0")
     policy.limits.add_permits("n0", [1.0])
     lookup, _ = decide(policy, call(now=1.0, route="lookups", rank=2), now=1.0)
@@ -284,31 +284,31 @@
     they are no candidates.
     """
     policy = policy_of(*near(4))
-    bad = None
+    failing = None
     for number in range(40):
         now = 1.0 + 0.1 * number
         decision, _ = decide(policy, call(now=now), now=now)
-        bad = bad or decision.attempt.target_name
-        failed = decision.attempt.target_name == bad
+        failing = failing or decision.attempt.target_name
+        failed = decision.attempt.target_name == failing
         policy.finished(decision.attempt, Answered(failed=failed), now + 0.01)
-    assert [event.target for event in policy.take_events()][:1] == [bad]
-    limit(policy, bad)
+    assert [event.target for event in policy.take_events()][:1] == [failing]
+    limit(policy, failing)
     arrive(policy, 3, now=20.0)
-    assert requested_permits(policy, now=20.0) == {bad: 1}
-    policy.limits.add_permits(bad, [20.0])
+    assert requested_permits(policy, now=20.0) == {failing: 1}
+    policy.limits.add_permits(failing, [20.0])
     decision, _ = decide(policy, call(now=20.1), now=20.1)
-    assert decision.attempt.target_name == bad
+    assert decision.attempt.target_name == failing
     assert decision.attempt.trial
     policy.finished(decision.attempt, Answered(), 20.2)
-    policy.limits.add_permits(bad, [20.2])
+    policy.limits.add_permits(failing, [20.2])
     decision, _ = decide(policy, call(now=20.3), now=20.3)
-    assert decision.attempt.target_name == bad
+    assert decision.attempt.target_name == failing
     assert not decision.attempt.trial
 
 
 def test_urgent_requests_use_reserved_permits_before_open_ones():
     policy = policy_of(*near(1))
-    urgent_and_other(policy)
+    record_arrivals(policy)
     limit(policy, "n0")
     policy.limits.add_permits("n0", [1.0, 1.0, 1.0])
     for _ in range(2):
--- a/tests/policy/usable/test_resting.py
+++ b/tests/policy/usable/test_resting.py
@@ -35,8 +35,8 @@
 BACK_OFF = TargetAdvisory(back_off_s=3.0)
 
 
-def back_off(policy, name, now=1.0, words=BACK_OFF):
-    policy.note_advisory(name, words, now)
+def back_off(policy, name, now=1.0, advisory=BACK_OFF):
+    policy.note_advisory(name, advisory, now)
 
 
 def chosen(policy, now, count=20, **more):
@@ -95,8 +95,8 @@
 def test_a_later_shorter_advisory_does_not_end_a_back_off():
     policy = policy_of(*near(2))
     back_off(policy, "n0", now=1.0)
-    back_off(policy, "n0", now=1.1, words=TargetAdvisory(back_off_s=0.2))
-    back_off(policy, "n0", now=1.2, words=NO_ADVISORY)
+    back_off(policy, "n0", now=1.1, advisory=TargetAdvisory(back_off_s=0.2))
+    back_off(policy, "n0", now=1.2, advisory=NO_ADVISORY)
     assert "n0" not in chosen(policy, 3.0)
 
 
@@ -231,7 +231,7 @@
 def test_a_request_does_not_wait_for_a_back_off_beyond_its_deadline():
     """Guards against a queue of requests that cannot meet their deadline."""
     policy = make_policy(targets=[make_target(0, slots=1)])
-    back_off(policy, "t0", now=0.0, words=TargetAdvisory(back_off_s=60.0))
+    back_off(policy, "t0", now=0.0, advisory=TargetAdvisory(back_off_s=60.0))
     decision = policy.arrive(make_call(), 0.0)
     assert isinstance(decision, Refuse)
     assert decision.cause is Cause.BACKING_OFF
@@ -239,7 +239,7 @@
 
 def test_a_request_waits_for_a_back_off_that_ends_in_time():
     policy = make_policy(targets=[make_target(0, slots=1)])
-    back_off(policy, "t0", now=0.0, words=TargetAdvisory(back_off_s=0.2))
+    back_off(policy, "t0", now=0.0, advisory=TargetAdvisory(back_off_s=0.2))
     waiting = make_call()
     assert isinstance(policy.arrive(waiting, 0.0), Wait)
     ((released, decision),) = policy.release(0.25)
@@ -249,8 +249,8 @@
 
 def test_a_back_off_is_reported_once_with_the_request_that_observed_it():
     policy = policy_of(*near(2))
-    policy.note_advisory("n0", BACK_OFF, 1.0, heard_by="req-7")
-    policy.note_advisory("n0", BACK_OFF, 1.1, heard_by="req-8")
+    policy.note_advisory("n0", BACK_OFF, 1.0, request_id="req-7")
+    policy.note_advisory("n0", BACK_OFF, 1.1, request_id="req-8")
     (event,) = policy.take_events()
     assert (event.target, str(event.condition)) == ("n0", "asks for rest")
     assert event.inputs == {"for_s": 3.0, "heard_by": "req-7"}
