--- a/Makefile
+++ b/Makefile
@@ -37,15 +37,15 @@
 	thrift --gen py:package_prefix=cairnferry.peers._generated. \
 		-out packages/peers/src/cairnferry/peers/_generated packages/peers/peer.thrift
 
-# Renew the golden files; read the difference before it is committed.
+# Updates the golden files; review the difference before you commit it.
 golden: install
 	$(BIN)/python -m pytest tests/golden --snapshot-update
 
-# About 25 minutes; BENCH="--size moreton --repeats 1" runs a part of it.
+# Takes about 25 minutes; BENCH="--size moreton --repeats 1" runs a part of it.
 bench: install
 	$(BIN)/python -m bench $(BENCH)
 
-# About two minutes each.
+# The next four targets take about two minutes each.
 capacity: install
 	$(BIN)/python -m bench.capacity
 
@@ -58,12 +58,14 @@
 shards: install
 	$(BIN)/python -m bench.shards
 
-# Days of our own on the users' bench: make days FLEETBENCH=program SITE=file
+# Runs the days in deploy/days with the users' benchmark program:
+# make days FLEETBENCH=program SITE=file
 days: install
 	FLEETBENCH=$(FLEETBENCH) $(BIN)/python -m bench.days $(SITE)
 
-# One service in simulated time, under several policies and loads; half a minute. Then
-# 13 to 1,000 daemons: members, news and who watches; some minutes.
+# Models in simulated time. bench.model compares policies for one service under several
+# loads, in half a minute. bench.fleet runs 13 to 1,000 daemons with their membership,
+# table updates and store watchers, in some minutes.
 model: install
 	$(BIN)/python -m bench.model
 	$(BIN)/python -m bench.fleet
--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Benchmarks; `make bench` and `make capacity` run them."""
+"""Benchmarks and models; the Makefile has a target for each of them."""
--- a/bench/capacity.py
+++ b/bench/capacity.py
@@ -54,7 +54,7 @@
 GROUP_SIZES = (2, 4, 8, 16)
 # Idle connections that are opened to measure the memory of one.
 CONNECTIONS = 400
-# Bytes.
+# Bytes of a kilobyte in the tables.
 KB = 1024
 US_PER_S = 1e6
 
@@ -155,7 +155,7 @@
 
 
 def _measure_heartbeats():
-    print("\n| members in the news | bytes a heartbeat | us to encode and decode |")
+    print("\n| member updates | bytes a heartbeat | us to encode and decode |")
     print("| --- | --- | --- |")
     factory = TCompactProtocolAcceleratedFactory()
     for updates in (0, 4, 12):
--- a/bench/cases.py
+++ b/bench/cases.py
@@ -6,8 +6,8 @@
 RUN_S = 5.0
 WARM_UP_S = 1.0
 EVENT_AT_S = 1.0
-# In a case with events, requests are measured from this many seconds after the start of
-# the load on, which is one second after EVENT_AT_S.
+# In a case with events, the measurement starts this many seconds after the start of the
+# load, which is one second after EVENT_AT_S.
 MEASURED_FROM_S = 2.0
 
 
--- a/bench/fleet.py
+++ b/bench/fleet.py
@@ -11,12 +11,15 @@
 
 from bench.model import Fleet, QueryOfDeath
 
+# Numbers of daemons.
 SIZES = (13, 30, 100, 300, 1000)
 SEED = 1
 ROW_BYTES = 230
 TARGETS = 300
+# Simulated seconds of the start, and of the idle time after it.
 START_S = 10.0
-CALM_S = 20.0
+IDLE_S = 20.0
+# Changes of a row whose spread is timed.
 CHANGES = 5
 # A request that crashes targets: arrivals per second, duration in seconds, and number
 # of other requests in flight at a target.
@@ -27,23 +30,23 @@
     "daemons",
     "zones",
     "store calls at the start",
-    "store calls in 20 s of calm",
+    "store calls in 20 s idle",
     "calls a second and daemon",
     "bytes a second and daemon, own zone",
     "other zones",
     "members known",
-    "seconds to all, mean",
+    "seconds to reach all, mean",
     "longest",
-    "crashes under a request that crashes targets",
+    "crashes by a query of death",
     "seconds from the third crash to the last",
-    "seconds to all after 55 % were killed",
-    "lasted s",
+    "seconds to reach all after 55 % were killed",
+    "run time in s",
 )
 
 
 def main() -> None:
     """Print a row for each size."""
-    # Otherwise each daemon of the model would log each block.
+    # Each daemon of the model would otherwise log each blocked request.
     logging.disable(logging.WARNING)
     sizes = [int(text) for text in sys.argv[1:]] or SIZES
     print("| " + " | ".join(COLUMNS) + " |")
@@ -59,12 +62,12 @@
     for number in range(TARGETS):
         fleet.store.change(f"i-{number}", b"x" * ROW_BYTES)
     fleet.run(START_S)
-    at_start = fleet.store.calls
+    during_start = fleet.store.calls
     fleet.bytes.clear()
     fleet.messages = fleet.store.calls = 0
-    fleet.run(CALM_S)
-    calm = fleet.store.calls
-    rates = [n / CALM_S / size for n in (fleet.messages, *_near_and_far(fleet))]
+    fleet.run(IDLE_S)
+    while_idle = fleet.store.calls
+    rates = [n / IDLE_S / size for n in (fleet.messages, *_near_and_far(fleet))]
     known_members = [len(d.cluster.membership.others()) for d in fleet.up()]
     spread_s = [_time_to_spread(fleet) for _ in range(CHANGES)]
     query = QueryOfDeath.start(fleet, QUERY_PER_S, QUERY_S, others=OTHERS_IN_FLIGHT)
@@ -76,8 +79,8 @@
     return [
         str(size),
         str(zones),
-        str(at_start),
-        str(calm),
+        str(during_start),
+        str(while_idle),
         f"{rates[0]:.1f}",
         f"{rates[1]:.0f}",
         f"{rates[2]:.0f}",
--- a/bench/model/__init__.py
+++ b/bench/model/__init__.py
@@ -1,6 +1,6 @@
 """Model of one service in simulated time, to compare policies within seconds.
 
-The model doesn't simulate machines or networks. Its targets have slots, a varying
+The model does not simulate machines or networks. Its targets have slots, a varying
 speed, a short queue, load shedding, load reports and status checks; its callers have
 deadlines and retries. Each instance drives its own `ServicePolicy`, as the daemon does.
 """
--- a/bench/model/__main__.py
+++ b/bench/model/__main__.py
@@ -7,7 +7,7 @@
 
 STRATEGIES = ("random", "two-choices", "least-in-flight", "load-aware", "ask-first")
 SEEDS = (1, 2)
-COLUMNS = "load,policy,in time,late,refused,failed,p50 ms,p99 ms,checks,repeats"
+COLUMNS = "load,policy,in time,late,refused,failed,p50 ms,p99 ms,checks,retries"
 
 
 def main() -> None:
--- a/bench/model/_disruptions.py
+++ b/bench/model/_disruptions.py
@@ -12,7 +12,7 @@
 
 
 class DisruptedWorld(World):
-    """A service whose instances and targets are disrupted; parameters as `World`."""
+    """A service whose instances and targets are disrupted; parameters as in `World`."""
 
     def after(self, seconds, method, *args) -> None:
         """Schedule a method call after some seconds."""
@@ -20,18 +20,18 @@
 
     # -- targets -------------------------------------------------------------------
 
-    def shed_requests(self, part: float, seconds: float) -> None:
+    def shed_requests(self, share: float, seconds: float) -> None:
         """Let all targets refuse a share of the requests for some seconds."""
-        self._set_fault("shedding", part, seconds)
+        self._set_fault("shedding", share, seconds)
 
-    def lose_responses(self, part: float, seconds: float) -> None:
+    def lose_responses(self, share: float, seconds: float) -> None:
         """Let all targets lose a share of their responses for some seconds."""
-        self._set_fault("losing", part, seconds)
+        self._set_fault("losing", share, seconds)
 
-    def _set_fault(self, attribute, part, seconds):
+    def _set_fault(self, attribute, share, seconds):
         for target in self.targets.values():
-            setattr(target, attribute, part)
-        if part:
+            setattr(target, attribute, share)
+        if share:
             self.after(seconds, self._set_fault, attribute, 0.0, 0.0)
 
     # -- instances -----------------------------------------------------------------
@@ -100,7 +100,7 @@
     slack: float,
     window: float,
 ) -> float:
-    """Return by how many arrivals the worst window exceeds the retry budget.
+    """Return the arrivals by which the worst window exceeds the retry budget.
 
     The budget of a window is a share of the requests that callers sent in it, in the
     previous one, or in the one that begins half a window earlier, whichever has most.
--- a/bench/model/_dissemination.py
+++ b/bench/model/_dissemination.py
@@ -17,10 +17,15 @@
 
 # Bytes per second of a link of 10 Mbit/s.
 SLOW_LINK = 1_250_000.0
+# Seconds between two heartbeat rounds of a daemon, and from the installation of the
+# document to the additional round that it triggers.
 ROUND_S = 0.5
 TRIGGERED_ROUND_S = 0.02
+# Peers of its zone that a daemon calls in a round.
 FANOUT = 2
+# Daemons of each zone that also call a daemon of another zone in each round.
 CROSS_ZONE_CALLERS = 2
+# Seconds from the call to the first byte of the transfer.
 CALL_S = 0.002
 # Seconds without a byte after which a call times out.
 TIMEOUT_S = 0.8
@@ -111,7 +116,7 @@
     def run(self, seconds: float) -> float:
         """Run until all daemons have the document; return the seconds that this took.
 
-        It ends after `seconds` at the latest.
+        The run ends after `seconds` at the latest.
         """
         while self._events and self.now <= seconds:
             if all(daemon.has_document for daemon in self.daemons):
--- a/bench/model/_fleet.py
+++ b/bench/model/_fleet.py
@@ -49,13 +49,14 @@
 )
 from cairnferry.policy import settings_for
 
+# Seconds between two gossip rounds of a daemon, and peers that it calls in a round.
 ROUND_S = 0.5
 FANOUT = 2
-# Mean seconds between two checks of a daemon whether it watches the store, and longest
-# wait of a watcher's call.
+# Mean seconds between a daemon's checks of whether it watches the store, and longest
+# wait of a watcher's call to the store.
 POLL_S = 0.15
 LONG_POLL_S = 5.6
-# Seconds between two calls to the store that fail.
+# Seconds from a failed call to the store to the next call.
 RETRY_S = 1.0
 TABLE = "targets"
 
@@ -109,12 +110,14 @@
     def hold_for(self, seconds: float) -> None:
         """Do nothing, as the model has no outage of writers."""
 
-    def apply_update(self, news) -> bool:
+    def apply_update(self, update) -> bool:
         """Apply an update of another daemon."""
-        return self.copy.apply_update(news)
+        return self.copy.apply_update(update)
 
 
 class _Rules:
+    """Rules of a daemon, with the attributes that `Cluster` uses."""
+
     revision = 1
     behind = None
 
@@ -126,11 +129,11 @@
     Attributes
     ----------
     is_up : bool
-        Whether it runs.
+        Whether the daemon runs.
     is_isolated : bool
-        Whether it can reach no other daemon.
+        Whether the daemon can reach no other daemon.
     side : int
-        Side of a network partition; it only reaches daemons of the same side.
+        Side of a network partition; a daemon reaches only daemons of its own side.
     refused : bool
         Whether the store refuses its calls.
     store_called_at : float
@@ -141,7 +144,7 @@
     zone: str
     cluster: Cluster
     gossip: Gossip
-    duty: WatcherRole
+    watcher_role: WatcherRole
     table: SharedReplica
     guard: CrashGuard
     services: Services
@@ -205,26 +208,35 @@
         table = SharedReplica()
         cluster.tables = {TABLE: table}
         gossip = Gossip(cluster, None, self, ROUND_S, FANOUT, ())
-        duty = WatcherRole(cluster)
-        duty.is_ready = True
+        watcher_role = WatcherRole(cluster)
+        watcher_role.is_ready = True
         guard = CrashGuard(Metrics(), partial(_post_suspicion, cluster, gossip))
         cluster.suspicions = quarantine_note_registry(guard.receive)
         services = Services(zone, self.rng, _ignore_policy, settings_for("ask-first"))
-        tell = partial(_post_limit, cluster, gossip)
-        limiter = Limiter(services.limits, Metrics(), tell)
+        post_limit = partial(_post_limit, cluster, gossip)
+        limiter = Limiter(services.limits, Metrics(), post_limit)
         cluster.limits = limit_note_registry(limiter.receive)
         issuers = PermitIssuers(cluster)
         issuer = LocalPermitIssuer(limiter, issuers, self.rng)
         gossip.permits = issuer.issue
         permits = PermitRequester(name, services, limiter, issuers, issuer, self)
         return Daemon(
-            name, zone, cluster, gossip, duty, table, guard, services, limiter, permits
+            name,
+            zone,
+            cluster,
+            gossip,
+            watcher_role,
+            table,
+            guard,
+            services,
+            limiter,
+            permits,
         )
 
     def _register_addresses(self):
-        """Give each daemon the addresses of all others, as the platform's list does.
+        """List the addresses of all other daemons at each, as the platform's list does.
 
-        No daemon knows another one as a member yet.
+        No daemon lists another one as a member yet.
         """
         zones = {f"{d.name}:1": d.zone for d in self.daemons.values()}
         listed = {
@@ -237,7 +249,7 @@
             daemon.cluster.listed = listed
             # The first daemons read the store themselves, as seeds do.
             if int(daemon.name.partition("-")[2]) >= 3:
-                daemon.duty.joined_at = 0.0
+                daemon.watcher_role.joined_at = 0.0
                 daemon.gossip.cross_zone_after = SETTLE_S
 
     # -- time ---------------------------------------------------------------------
@@ -266,9 +278,9 @@
             daemon.gossip._calls.join()
             # Fetches of a daemon that was called run in their own greenlets.
             gevent.sleep(0)
-        hurries = daemon.gossip._round_due.is_set()
+        is_triggered = daemon.gossip._round_due.is_set()
         daemon.gossip._round_due.clear()
-        self.after(0.02 if hurries else ROUND_S, self._round, daemon)
+        self.after(0.02 if is_triggered else ROUND_S, self._round, daemon)
 
     def _request_permits(self, daemon):
         if daemon.is_up and daemon.limiter.is_needed.is_set():
@@ -279,7 +291,7 @@
     def _poll_store(self, daemon):
         """Poll the store, if this daemon is a watcher."""
         self.after(POLL_S * (0.5 + self.rng.random()), self._poll_store, daemon)
-        if not daemon.is_up or not daemon.duty.is_active():
+        if not daemon.is_up or not daemon.watcher_role.is_active():
             return
         copy = daemon.table.copy
         is_served = self.store.is_up and not daemon.refused
@@ -290,7 +302,7 @@
         self.store.calls += 1
         daemon.store_called_at = self.now
         if not is_served:
-            daemon.duty.report_store_failure()
+            daemon.watcher_role.report_store_failure()
             daemon.gossip.trigger_round()
             return
         daemon.cluster.confirmation.confirm(self.now)
@@ -323,7 +335,7 @@
     def is_watching(self, daemon: Daemon) -> bool:
         """Return whether a daemon watches the store."""
         with self._clock():
-            return daemon.duty.is_active_at(self.now)
+            return daemon.watcher_role.is_active_at(self.now)
 
     def watchers(self) -> dict[str, int]:
         """Return the number of watchers by zone."""
@@ -360,25 +372,25 @@
     def news_since(self, table, version):
         """Fetch the changes of a table since a version."""
         self._check_reachable(None)
-        news = self.daemon.gossip.news_since(table, version)
+        update = self.daemon.gossip.news_since(table, version)
         self.fleet.count_bytes(
-            "news", self.daemon, self.is_cross_zone, None, table_update_to_wire(news)
+            "news", self.daemon, self.is_cross_zone, None, table_update_to_wire(update)
         )
-        return news
+        return update
 
-    def request_permits(self, asker, wanted):
+    def request_permits(self, requester, queries):
         """Request permits for limited targets."""
-        self._check_reachable(asker)
-        given = self.daemon.gossip.issue_permits(asker, list(wanted))
-        for message in map(permit_query_to_wire, wanted):
+        self._check_reachable(requester)
+        replies = self.daemon.gossip.issue_permits(requester, list(queries))
+        for message in map(permit_query_to_wire, queries):
             self.fleet.count_bytes(
                 "permits", self.daemon, self.is_cross_zone, message, None
             )
-        for message in map(permit_reply_to_wire, given):
+        for message in map(permit_reply_to_wire, replies):
             self.fleet.count_bytes(
                 "permits", self.daemon, self.is_cross_zone, None, message
             )
-        return given
+        return replies
 
     def _check_reachable(self, caller):
         fleet = self.fleet
--- a/bench/model/_instance.py
+++ b/bench/model/_instance.py
@@ -15,19 +15,19 @@
     kind : Kind
         Kind of the request.
     started_at : float
-        Time in seconds of its first try.
-    tries_left : int
-        Number of further tries that it may make.
+        Time in seconds at which the caller first sent the request.
+    retries_left : int
+        Number of retries that the caller may still make.
     """
 
     kind: Kind
     started_at: float
-    tries_left: int
+    retries_left: int
 
 
 @attrs.define(eq=False)
 class Instance:
-    """One start of an entry instance.
+    """One run of an entry instance, from its start to its end.
 
     Attributes
     ----------
--- a/bench/model/_loads.py
+++ b/bench/model/_loads.py
@@ -92,7 +92,8 @@
     far_s=0.0014,
     retry_slack=56.0,
 )
-# Sizes of no real deployment. They show whether a constant fits only some sizes.
+# These sizes match no real deployment. They show whether a constant fits only some
+# sizes.
 ONE_ZONE = Site(
     targets=12,
     slots=1,
--- a/bench/model/_query_of_death.py
+++ b/bench/model/_query_of_death.py
@@ -19,7 +19,7 @@
     Parameters
     ----------
     fleet : Fleet
-        Daemons; the request arrives at any of those that are up.
+        Daemons; each request arrives at a random one of those that are up.
     others : int
         Other requests in flight at each target, each from a random daemon.
     path : str
@@ -49,7 +49,7 @@
         others: int = 0,
         path: str = "/poison",
     ) -> "QueryOfDeath":
-        """Start a request that arrives `per_s` times a second, each time at any daemon.
+        """Start a request that arrives `per_s` times a second, at random daemons.
 
         Parameters
         ----------
--- a/bench/model/_result.py
+++ b/bench/model/_result.py
@@ -5,7 +5,7 @@
 import attrs
 
 # Costs of a check, and of a check or a request to another zone and back, as a share of
-# the worth of a response in time. They follow from the users' prices, with some 300
+# the worth of a response in time. They follow from the users' prices, with about 300
 # bytes for a check and 2 KB for a request and its response.
 CHECK_PRICE = 0.0032
 FAR_CHECK_PRICE = 0.012
--- a/bench/model/_world.py
+++ b/bench/model/_world.py
@@ -211,10 +211,10 @@
 
     def _retry_later(self, caller, after, outcome):
         left = caller.started_at + caller.kind.deadline - self.clock.now
-        if caller.tries_left == 0 or left <= 0.02:
+        if caller.retries_left == 0 or left <= 0.02:
             self._count(caller, outcome)
             return
-        caller.tries_left -= 1
+        caller.retries_left -= 1
         wait = 0.0 if self.load.retry_at_once else min(after, left / 3)
         self.clock.after(wait + 0.004, lambda: self._send_request(caller))
 
@@ -236,7 +236,7 @@
             case Send(attempt):
                 self._send(instance, caller, attempt)
             case CheckStatus(targets):
-                self._ask(instance, caller, call, targets)
+                self._check_targets(instance, caller, call, targets)
             case Wait():
                 instance.waiting[call] = caller
             case AwaitOthers():
@@ -245,7 +245,7 @@
                 del instance.open_requests[call]
                 self._finish_call(caller, decision)
 
-    def _ask(self, instance, caller, call, records):
+    def _check_targets(self, instance, caller, call, records):
         policy = instance.policy
         far = sum(self._is_far(instance, record.name) for record in records)
         self.result.checks += len(records)
@@ -324,5 +324,5 @@
     length: float = 12.0,
     site: Site = SIX_SLOTS,
 ) -> Result:
-    """Run a load under a policy, and return the result; parameters as `World`."""
+    """Run a load under a policy, and return the result; parameters as in `World`."""
     return World(load, settings, seed, length, site).run()
--- a/bench/overhead.py
+++ b/bench/overhead.py
@@ -65,7 +65,7 @@
 
 
 def _measure(system, paths):
-    print("| requests/s | way | p50 ms | p99 ms | added p50 | added p99 |")
+    print("| requests/s | path | p50 ms | p99 ms | added p50 | added p99 |")
     print("| --- | --- | --- | --- | --- | --- |")
     for rate in RATES:
         runs = {path: [] for path in paths}
--- a/bench/propagation.py
+++ b/bench/propagation.py
@@ -1,7 +1,7 @@
 """Measure how long updates take to reach every daemon: `make propagation`.
 
 With 16 daemons in 4 availability zones, measures two times: from the response
-"accepted" until a change is in effect at all daemons, and from the first sign that a
+"accepted" until a change is in force at all daemons, and from the first sign that a
 target is leaving until all daemons list it as draining. All processes use the clock of
 one machine.
 """
@@ -30,8 +30,8 @@
 POLL_INTERVAL_S = 0.005
 # Faults of the platform stand-in, by the text of the table's row.
 FAULTS = {
-    "platform well": {},
-    "platform slow, 300 ms a call": {"delay_ms": 300},
+    "platform healthy": {},
+    "platform slow, 300 ms per call": {"delay_ms": 300},
 }
 
 
@@ -56,7 +56,7 @@
             # The daemons' note on a draining target stays valid for seconds after
             # the target stops draining, so each kind of drain uses other targets.
             seconds = _time_drains(system, names[:half], _set_health_draining)
-            _print_row("drain by health answer known to all", seconds)
+            _print_row("drain by health check known to all", seconds)
             seconds = _time_drains(system, names[half:], _set_listed_leaving)
             _print_row("drain by the platform's list known to all", seconds)
     return 0
@@ -79,7 +79,7 @@
 
 
 def _time_changes(system):
-    """Return, for each change, the seconds until it is in effect at all daemons."""
+    """Return, for each change, the seconds until it is in force at all daemons."""
     daemons = list(system.daemons.values())
     seconds = []
     for number in range(CHANGES):
@@ -117,12 +117,12 @@
     return seconds
 
 
-def _set_health_draining(system, name, on):
-    system.set_target(name, draining=on)
+def _set_health_draining(system, name, is_draining):
+    system.set_target(name, draining=is_draining)
 
 
-def _set_listed_leaving(system, name, on):
-    (system.leaving.add if on else system.leaving.discard)(name)
+def _set_listed_leaving(system, name, is_leaving):
+    (system.leaving.add if is_leaving else system.leaving.discard)(name)
     system.publish_instances()
 
 
@@ -137,7 +137,7 @@
 
 
 def _wait_until(condition):
-    """Wait until a condition holds; return the time, on the monotonic clock."""
+    """Wait until a condition is met; return the time, on the monotonic clock."""
     while not condition():
         gevent.sleep(POLL_INTERVAL_S)
     return time.monotonic()
--- a/bench/runner.py
+++ b/bench/runner.py
@@ -35,7 +35,7 @@
     Parameters
     ----------
     system : LocalSystem
-        System that starts and holds the processes.
+        System that starts the processes.
     size : Size
         Number and capacity of the targets.
     groups : dict of str to list of Process
--- a/bench/shards.py
+++ b/bench/shards.py
@@ -20,8 +20,8 @@
 GROUP_SIZES = (2, 4, 8, 16)
 # Share of the targets' capacity.
 LOAD = 0.7
-# Seconds from the start of a run to the freeze of a daemon.
-FREEZE_AT_S = 2.0
+# Seconds from the start of a run to the suspension of a daemon.
+SUSPEND_AT_S = 2.0
 
 
 def main() -> int:
@@ -36,15 +36,15 @@
                 bench.start_group("load-aware", count)
                 bench.configure()
                 _print_row(count, "-", bench.run(Case("steady", LOAD), "load-aware", 1))
-                freeze = gevent.spawn_later(FREEZE_AT_S, _freeze_one, bench)
+                suspension = gevent.spawn_later(SUSPEND_AT_S, _suspend_one, bench)
                 figures = bench.run(Case("steady", LOAD), "load-aware", 2)
-                freeze.join()
-                _print_row(count, "one frozen for 1 s", figures)
+                suspension.join()
+                _print_row(count, "one suspended for 1 s", figures)
     return 0
 
 
-def _freeze_one(bench):
-    """Stop a daemon by SIGSTOP for one second; callers continue to send to it."""
+def _suspend_one(bench):
+    """Suspend a daemon by SIGSTOP for one second; callers continue to send to it."""
     daemon = bench.groups["load-aware"][0]
     daemon.signal(signal.SIGSTOP)
     gevent.sleep(1.0)
--- a/packages/cloudapi/src/cairnferry/cloudapi/_table.py
+++ b/packages/cloudapi/src/cairnferry/cloudapi/_table.py
@@ -21,10 +21,13 @@
 OPERATION_PREFIX = "DynamoDB_20120810."
 CONTENT_TYPE = "application/x-amz-json-1.0"
 TRANSACTION_CANCELED = "TransactionCanceledException"
+# Maximum length of a client request token.
 TOKEN_LENGTH = 36
 HTTP_OK = 200
 HTTP_SERVER_ERROR = 500
+# Digits of a sort key; padded numbers are in order when compared as strings.
 NUMBER_WIDTH = 20
+# Sort key of a row whose key does not end with a number.
 NO_SORT_KEY = "-"
 
 
--- a/packages/coordination/src/cairnferry/coordination/_budgets.py
+++ b/packages/coordination/src/cairnferry/coordination/_budgets.py
@@ -14,7 +14,9 @@
     burst : float
         Maximum number of tokens in the bucket.
     now : float
-        Monotonic time of creation in seconds; the bucket starts empty.
+        Monotonic time of creation in seconds.
+    tokens : float, optional
+        Number of tokens in the bucket; 0 at creation by default.
     """
 
     rate: float
--- a/packages/coordination/src/cairnferry/coordination/_changelog.py
+++ b/packages/coordination/src/cairnferry/coordination/_changelog.py
@@ -27,7 +27,9 @@
 # leave space for the key, the version and the head row.
 MAX_ROW_BYTES = 350 * 1024
 MAX_GROUP_CHANGES = 90
+# Maximum number of times that one transaction is sent.
 MAX_ATTEMPTS = 4
+# Maximum number of rows that one read of a range returns.
 RANGE_PAGE_ROWS = 100
 
 
--- a/packages/coordination/src/cairnferry/coordination/_groupcommit.py
+++ b/packages/coordination/src/cairnferry/coordination/_groupcommit.py
@@ -64,9 +64,9 @@
 
         Notes
         -----
-        When operators release a frozen batch of changes at once, all daemons compete
-        for the head row. With one transaction for all submissions that wait at a
-        daemon, the number of writes grows with the number of daemons, not with the
+        When operators release a frozen batch of changes at the same time, all daemons
+        compete for the head row. With one transaction for all submissions that wait at
+        a daemon, the number of writes grows with the number of daemons, not with the
         number of submissions.
         """
         remaining = _merge_duplicates(waiting)
--- a/packages/coordination/src/cairnferry/coordination/_membership.py
+++ b/packages/coordination/src/cairnferry/coordination/_membership.py
@@ -118,8 +118,8 @@
         Notes
         -----
         An update that calls this daemon itself suspected or gone is refuted with a
-        higher incarnation. So a paused instance that resumes is accepted again, and
-        its outdated view cannot revert updates on other members.
+        higher incarnation. A paused instance that resumes is therefore accepted again,
+        and its outdated view cannot revert updates on other members.
         """
         if member.name == self.me.name:
             return self._refute(member)
@@ -192,22 +192,22 @@
         without a call is bounded.
         """
         chosen = []
-        callable_names = {
+        eligible_names = {
             m.name
             for m in self.others()
             if m.state < MemberState.GONE and m.zone == self.me.zone
         }
-        for _ in range(min(count, len(callable_names))):
-            chosen.append(self._next_name(callable_names, chosen))
+        for _ in range(min(count, len(eligible_names))):
+            chosen.append(self._next_name(eligible_names, chosen))
         return [self._members[name] for name in chosen]
 
-    def _next_name(self, callable_names, chosen):
+    def _next_name(self, eligible_names, chosen):
         while True:
             while self._call_order:
                 name = self._call_order.pop()
-                if name in callable_names and name not in chosen:
+                if name in eligible_names and name not in chosen:
                     return name
-            self._call_order = sorted(callable_names)
+            self._call_order = sorted(eligible_names)
             self.rng.shuffle(self._call_order)
 
     def next_cross_zone_peer(self) -> Member | None:
@@ -223,8 +223,8 @@
         """List the names of the live members of the own zone, by rank.
 
         Work that only some members of a zone do is assigned to the first of them.
-        While an update spreads, members disagree on this list. In that time too many
-        members do the work, or briefly too few.
+        While an update spreads, members disagree on this list, and for a short time too
+        many or too few members do the work.
         """
         names = [m.name for m in self.live() if m.zone == self.me.zone]
         return lowest_ranked(RANK_KEY, names, len(names))
@@ -286,7 +286,7 @@
 
     def live(self) -> list[Member]:
         """List the members that are alive, including this daemon, by name."""
-        usable = [m for m in self._members.values() if m.state is MemberState.ALIVE]
+        alive = [m for m in self._members.values() if m.state is MemberState.ALIVE]
         if self.me.state is MemberState.ALIVE:
-            usable.append(self.me)
-        return sorted(usable, key=lambda member: member.name)
+            alive.append(self.me)
+        return sorted(alive, key=lambda member: member.name)
--- a/packages/coordination/src/cairnferry/coordination/_notes.py
+++ b/packages/coordination/src/cairnferry/coordination/_notes.py
@@ -1,8 +1,8 @@
 """Gossip of notes that expire by themselves.
 
 A note is valid for a limited time and is renewed by the members that still observe the
-fact. So notes are never withdrawn: no withdrawal has to reach every member, and none
-can overtake the note.
+fact. Notes are therefore never withdrawn: no withdrawal has to reach every member, and
+none can overtake the note.
 """
 
 import math
@@ -11,12 +11,12 @@
 import attrs
 
 # Number of sends of a note, per doubling of the number of members.
-SPREAD_FACTOR = 2
+GOSSIP_FACTOR = 2
 MAX_NOTES_PER_MESSAGE = 16
 # Minimum extension of a note in seconds; shorter renewals are not gossiped.
 MIN_EXTENSION_S = 0.5
 MAX_LIFETIME_S = 60.0
-# Several times the number of notes when all targets of an installation leave at once.
+# Several times the number of notes when all targets of an installation leave together.
 MAX_KEPT_NOTES = 4096
 
 
@@ -29,7 +29,7 @@
     subject : str
         Subject of the fact, such as a target.
     source : str
-        How the fact was observed.
+        Means by which the fact was observed.
     remaining : float
         Seconds for which the note is valid. Times are not sent because the clocks of
         machines differ.
@@ -67,7 +67,7 @@
     spread_s: float = math.inf
     _expires_at: dict[tuple[str, str], float] = attrs.field(factory=dict)
     _sends_left: dict[tuple[str, str], int] = attrs.field(factory=dict)
-    _spread_until: dict[tuple[str, str], float] = attrs.field(factory=dict)
+    _gossip_until: dict[tuple[str, str], float] = attrs.field(factory=dict)
 
     def post(self, note: Note, now: float, members: int) -> bool:
         """Add or extend a note; return whether its fact was not in effect before.
@@ -91,19 +91,19 @@
         while len(self._expires_at) > self.max_kept:
             oldest = next(iter(self._expires_at))
             del self._expires_at[oldest]
-            self._stop_spreading(oldest)
+            self._stop_gossip(oldest)
         self.on_note(note.subject, note.source, expires_at)
         return earlier <= now
 
     def spread_again(self, key: tuple[str, str], now: float, members: int) -> None:
         """Restart the gossip of a note that some members may not have received."""
         if key in self._expires_at:
-            self._sends_left[key] = SPREAD_FACTOR * math.ceil(math.log2(members + 2))
-            self._spread_until[key] = now + self.spread_s
+            self._sends_left[key] = GOSSIP_FACTOR * math.ceil(math.log2(members + 2))
+            self._gossip_until[key] = now + self.spread_s
 
-    def _stop_spreading(self, key):
+    def _stop_gossip(self, key):
         self._sends_left.pop(key, None)
-        self._spread_until.pop(key, None)
+        self._gossip_until.pop(key, None)
 
     def next_notes(self, now: float) -> tuple[Note, ...]:
         """Return the notes for the next message."""
@@ -113,9 +113,9 @@
         notes = []
         for key in chosen:
             self._sends_left[key] -= 1
-            is_late = now > self._spread_until[key]
+            is_late = now > self._gossip_until[key]
             if self._sends_left[key] <= 0 or is_late:
-                self._stop_spreading(key)
+                self._stop_gossip(key)
             remaining = self._expires_at[key] - now
             if remaining > 0 and not is_late:
                 notes.append(Note(*key, remaining))
@@ -133,4 +133,4 @@
         """Remove the notes that have expired."""
         self._expires_at = {key: t for key, t in self._expires_at.items() if t > now}
         for key in [key for key in self._sends_left if key not in self._expires_at]:
-            self._stop_spreading(key)
+            self._stop_gossip(key)
--- a/packages/ctl/src/cairnferry/ctl/_charts.py
+++ b/packages/ctl/src/cairnferry/ctl/_charts.py
@@ -92,7 +92,8 @@
 def _revisions(timeline):
     return {
         name: [
-            pick(step.revisions) if step.revisions else None for step in timeline.steps
+            select(step.revisions) if step.revisions else None
+            for step in timeline.steps
         ]
-        for name, pick in (("lowest", min), ("highest", max))
+        for name, select in (("lowest", min), ("highest", max))
     }
--- a/packages/ctl/src/cairnferry/ctl/_commands.py
+++ b/packages/ctl/src/cairnferry/ctl/_commands.py
@@ -172,7 +172,7 @@
     result = api.post(f"/v1/blocked/{urllib.parse.quote(content, safe='')}/lift", {})
     if result.is_error():
         fail(result.error, None, as_json)
-    print(f"{content} is let through")
+    print(f"{content} is unblocked")
 
 
 def _lagging_instances(document, revision):
--- a/packages/ctl/src/cairnferry/ctl/_exits.py
+++ b/packages/ctl/src/cairnferry/ctl/_exits.py
@@ -41,10 +41,10 @@
             code = _BY_STATUS.get(status, ExitCode.REFUSED)
             message = document.get("message") or document.get("error", "error")
             if status == 401:
-                message = "the token is missing or not known (--token-file)"
+                message = "the token is missing or unknown (--token-file)"
         case Unreachable(address, sent, reason):
             document = {"error": "unreachable", "address": address, "reason": reason}
-            message = f"{address} gave no answer ({reason})"
+            message = f"{address} did not respond ({reason})"
             outcome_unknown = sent and change_id is not None
             code = ExitCode.UNKNOWN if outcome_unknown else ExitCode.UNAVAILABLE
     if as_json:
--- a/packages/ctl/src/cairnferry/ctl/_explain.py
+++ b/packages/ctl/src/cairnferry/ctl/_explain.py
@@ -9,7 +9,7 @@
 TIME_FORMAT = "%Y-%m-%d %H:%M:%S,%f"
 # Fields that every line has; all other fields are specific to the message.
 COMMON_FIELDS = ("time", "level", "part", "message", "instance", "request_id")
-# Messages on the state that an instance assumes, which affects later requests.
+# Messages on an instance's state, which affects later requests.
 STATE_MESSAGES = (
     "in force",
     "rules cannot be read",
@@ -40,7 +40,8 @@
 # Messages on limits that targets declare. A limit is in effect until another line
 # changes or ends it.
 LIMIT_MESSAGES = ("limit named", "limit changed", "limit lifted", "limit forgotten")
-# Messages on targets that request back-off. It is in effect for the time in the line.
+# Messages on targets that request back-off. The back-off is in effect for the time
+# that the line states.
 BACK_OFF_MESSAGES = ("target asks for rest", "target has rested")
 # Messages on zones that operators evacuated or restored. They show which targets were
 # not available to a request.
@@ -76,7 +77,7 @@
         Name of the instance that wrote the line, and the message.
     request_id : str or None
         ID of the request that the line is about.
-    facts : dict
+    fields : dict
         All other fields of the line.
     """
 
@@ -84,18 +85,18 @@
     instance: str
     message: str
     request_id: str | None
-    facts: dict
+    fields: dict
 
     def digests(self) -> set[str]:
         """Return the digests of the requests that the line is about."""
-        in_hand = {text.split(" ")[0] for text in self.facts.get("in_hand", ())}
-        return in_hand | {self.facts.get("content", "")} - {""}
+        in_hand = {text.split(" ")[0] for text in self.fields.get("in_hand", ())}
+        return in_hand | {self.fields.get("content", "")} - {""}
 
     def target_names(self) -> set[str]:
         """Return the names of the targets that the line is about."""
         found = set()
         for field in TARGET_FIELDS:
-            value = self.facts.get(field, ())
+            value = self.fields.get(field, ())
             found.update([value] if isinstance(value, str) else value)
         return found
 
@@ -141,15 +142,15 @@
 
 
 def _read_line(text):
-    _, brace, rest = text.partition("{")
+    _, brace, json_tail = text.partition("{")
     try:
-        document = json.loads(brace + rest)
+        document = json.loads(brace + json_tail)
         when = datetime.strptime(document["time"], TIME_FORMAT)
         instance, message = document["instance"], document["message"]
     except (ValueError, KeyError, TypeError):
         return None
-    facts = {k: v for k, v in document.items() if k not in COMMON_FIELDS}
-    return LogLine(when, instance, message, document.get("request_id"), facts)
+    fields = {k: v for k, v in document.items() if k not in COMMON_FIELDS}
+    return LogLine(when, instance, message, document.get("request_id"), fields)
 
 
 def explain(log: Log, request_id: str, before_s: float) -> list[LogLine]:
@@ -162,9 +163,9 @@
     request_id : str
         ID that the caller assigned to the request.
     before_s : float
-        Seconds before the request for which state changes are included. These are
-        the changes that its instance logged on rules and feeds, and on the targets
-        that were checked or tried. Lines of any instance on targets that crashed
+        Seconds before the request for which state changes are included: changes that
+        its instance logged on rules and feeds, and on the targets that were checked
+        or tried. Lines of any instance on targets that crashed
         during a request with the same content are included whatever their age.
 
     Returns
@@ -178,7 +179,7 @@
     instances = {line.instance for line in own}
     digests = set().union(*(line.digests() for line in own))
     targets = set().union(*(_targets_of(line) for line in own))
-    causes = {line.facts.get("cause") for line in own}
+    causes = {line.fields.get("cause") for line in own}
     begin = min(_arrival_time(line) for line in own) - timedelta(seconds=before_s)
     end = max(line.time for line in own)
 
@@ -206,12 +207,12 @@
 
 def _targets_of(line):
     """Return the checked and the tried targets; an attempt is "kind target ..."."""
-    tried = {text.split(" ")[1] for text in line.facts.get("attempts", ())}
-    return tried.union(line.facts.get("asked", ()))
+    tried = {text.split(" ")[1] for text in line.fields.get("attempts", ())}
+    return tried.union(line.fields.get("asked", ()))
 
 
 def _arrival_time(line):
-    return line.time - timedelta(milliseconds=line.facts.get("after_ms", 0))
+    return line.time - timedelta(milliseconds=line.fields.get("after_ms", 0))
 
 
 def format_lines(lines: list[LogLine]) -> Iterator[str]:
@@ -219,8 +220,10 @@
     for line in lines:
         mark = "*" if line.request_id is not None else " "
         when = line.time.strftime("%H:%M:%S.%f")[:-3]
-        facts = "  ".join(f"{key}={_format_value(v)}" for key, v in line.facts.items())
-        yield f"{mark} {when}  {line.instance}  {line.message}  {facts}".rstrip()
+        fields = "  ".join(
+            f"{key}={_format_value(v)}" for key, v in line.fields.items()
+        )
+        yield f"{mark} {when}  {line.instance}  {line.message}  {fields}".rstrip()
 
 
 def _format_value(value):
--- a/packages/ctl/src/cairnferry/ctl/_report.py
+++ b/packages/ctl/src/cairnferry/ctl/_report.py
@@ -8,7 +8,7 @@
 
 from cairnferry.ctl._explain import Log, LogLine
 
-# Greatest number of steps; a chart cannot show more of them distinctly.
+# Maximum number of steps; more of them cannot be told apart in a chart.
 MAX_STEPS = 120
 # Messages on completed requests, and their labels in the chart.
 OUTCOME_BY_MESSAGE = {
@@ -27,8 +27,8 @@
     Attributes
     ----------
     outcomes : Counter
-        Completed requests by outcome. Lines that were skipped are counted too, in the
-        step of the line that reports them.
+        Completed requests by outcome. Requests whose lines were skipped are counted
+        too, in the step of the line that reports their number.
     durations_ms : list of float
         Durations of the requests that have a line, in milliseconds.
     serving : int
@@ -75,7 +75,7 @@
                 # A new process has no rules yet, even if an earlier process had.
                 self.revisions.pop(line.instance, None)
             case "in force":
-                self.revisions[line.instance] = line.facts["revision"]
+                self.revisions[line.instance] = line.fields["revision"]
             case "leaving":
                 self.revisions.pop(line.instance, None)
 
@@ -110,6 +110,6 @@
     outcome = OUTCOME_BY_MESSAGE.get(line.message)
     if outcome is None:
         return
-    step.outcomes[outcome] += 1 + line.facts.get("left_out", 0)
-    if "after_ms" in line.facts:
-        step.durations_ms.append(line.facts["after_ms"])
+    step.outcomes[outcome] += 1 + line.fields.get("left_out", 0)
+    if "after_ms" in line.fields:
+        step.durations_ms.append(line.fields["after_ms"])
--- a/packages/ctl/src/cairnferry/ctl/command.py
+++ b/packages/ctl/src/cairnferry/ctl/command.py
@@ -15,7 +15,7 @@
 SERVER_VARIABLE = "CAIRNFERRY_SERVER"
 TOKEN_VARIABLE = "CAIRNFERRY_TOKEN_FILE"
 DEFAULT_TIMEOUT_S = 30.0
-# Longer than the 1.2 s for which a target that does not respond is avoided at most.
+# More than 1.2 s, the longest time for which an unresponsive target is avoided.
 DEFAULT_BEFORE_S = 2.0
 
 _Json = typing.Annotated[bool, cappa.Arg(long="--json", help="print JSON")]
--- a/packages/entry/src/cairnferry/entry/_ports.py
+++ b/packages/entry/src/cairnferry/entry/_ports.py
@@ -24,7 +24,7 @@
     revision : int
         Revision of the rules in force; 0 before the first.
     behind : object or None
-        Set once the daemon has seen a revision that it cannot apply.
+        Set once the daemon has received a revision that it cannot apply.
     """
 
     revision: int
@@ -39,14 +39,14 @@
     copy : TableReplica
         Local replica of the table.
     grace_left : float
-        Seconds for which rows that disappear are still kept.
+        Seconds for which removed rows are still retained.
     """
 
     copy: TableReplica
     grace_left: float
 
     def hold_for(self, seconds: float) -> None:
-        """Keep rows that disappear in the next `seconds`, after a store outage."""
+        """Retain rows that are removed within `seconds`, after a store outage."""
 
     def apply_update(self, update: TableUpdate) -> bool:
         """Apply an update from another daemon; return whether it was newer."""
@@ -81,7 +81,7 @@
 
 @attrs.frozen
 class FeedUnavailable:
-    """A call got no answer, or an error answer that says that nothing was done.
+    """Error: a call got no answer, or an error answer that it had no effect.
 
     Attributes
     ----------
@@ -94,7 +94,7 @@
 
 @attrs.frozen
 class HistoryLost:
-    """Changes since the requested version are no longer kept: list again."""
+    """Error: changes since a version are no longer kept; all rows must be listed."""
 
 
 FeedFault = FeedUnavailable | HistoryLost
@@ -271,7 +271,7 @@
 class BlockRows(typing.Protocol):
     """Persistent storage for blocks of requests that crash targets.
 
-    Blocks stored there survive the end of all daemons.
+    Stored blocks survive a restart of all daemons.
     """
 
     def write(
--- a/packages/entry/src/cairnferry/entry/callers/_callers.py
+++ b/packages/entry/src/cairnferry/entry/callers/_callers.py
@@ -166,8 +166,10 @@
         )
         if isinstance(forwarded.decision, Relay):
             return forwarded.answer
-        own = self.convention.local_answer_headers(head)
-        return attrs.evolve(forwarded.answer, headers=[*forwarded.answer.headers, *own])
+        local_headers = self.convention.local_answer_headers(head)
+        return attrs.evolve(
+            forwarded.answer, headers=[*forwarded.answer.headers, *local_headers]
+        )
 
     def steering_answer(self, path: str) -> Answer:
         """Return the entry instances to use for a service.
--- a/packages/entry/src/cairnferry/entry/callers/_request_log.py
+++ b/packages/entry/src/cairnferry/entry/callers/_request_log.py
@@ -12,7 +12,7 @@
 
 MS_PER_S = 1000
 # Log lines per second, and in one burst, for requests that their first target answered.
-# They show the usual case, and are few compared to the lines on other requests.
+# These lines show the usual case, and are fewer than the lines on other requests.
 ANSWERED_RATE = 1.0
 ANSWERED_BURST = 4.0
 CALLER_GONE = "caller-gone"
@@ -45,7 +45,7 @@
     metrics : Metrics
         Counts all requests.
     services : Services
-        Provides the revision in effect.
+        Provides the revision in force.
     """
 
     metrics: Metrics
@@ -78,21 +78,21 @@
                 outcome, cause = "relayed", "-"
                 line = LogLine.REPEATED if len(call.attempts) > 1 else LogLine.ANSWERED
                 status = forwarded.answer.status.partition(" ")[0]
-                more = {"status": int(status)}
+                details = {"status": int(status)}
             case decision:
                 outcome = "unknown" if isinstance(decision, GiveUp) else "not-run"
                 cause = str(decision.cause)
                 self.metrics.note_cause(cause)
                 line = LogLine.GIVEN_UP
                 retry_after = round(decision.retry_after, 3)
-                more = {
+                details = {
                     "outcome": outcome,
                     "cause": cause,
                     "retry_after_s": retry_after,
                 }
         self.metrics.note_answer(service, outcome, elapsed)
         self.metrics.note_request(service, call.idempotent, outcome, cause)
-        self._write_with_facts(line, policy, call, request_id, more)
+        self._write_with_facts(line, policy, call, request_id, details)
 
     def note_caller_gone(
         self, policy: ServicePolicy, call: Call, request_id: str | None
@@ -127,8 +127,8 @@
         facts = {"revision": self.services.revision, "cause": cause}
         self._write(LogLine.REJECTED, request_id, lambda: facts)
 
-    def _write_with_facts(self, line, policy, call, request_id, more):
-        self._write(line, request_id, lambda: self._facts(policy, call) | more)
+    def _write_with_facts(self, line, policy, call, request_id, details):
+        self._write(line, request_id, lambda: self._facts(policy, call) | details)
 
     def _write(self, line, request_id, facts):
         """Write a log line at a limited rate; the facts are computed only if needed."""
@@ -142,14 +142,14 @@
 
     def _facts(self, policy, call):
         """Return the facts that led to the decision on a request."""
-        after = time.monotonic() - call.arrived
+        elapsed = time.monotonic() - call.arrived
         return {
             "service": policy.service.name,
             "route": call.route,
             "revision": self.services.revision,
             "attempts": [_describe_attempt(attempt, call) for attempt in call.attempts],
             "asked": sorted(call.search.checked),
-            "after_ms": round(after * MS_PER_S, 1),
+            "after_ms": round(elapsed * MS_PER_S, 1),
             "time_given_ms": round((call.deadline - call.arrived) * MS_PER_S),
             "repeats_left": round(policy.retries_left, 1),
             **_identity_facts(call),
--- a/packages/entry/src/cairnferry/entry/callers/_startup_retry.py
+++ b/packages/entry/src/cairnferry/entry/callers/_startup_retry.py
@@ -18,10 +18,10 @@
 class StartupRetry:
     """Determines Retry-After while this daemon has no rules.
 
-    After a power failure all daemons start at the same time. A caller makes few tries.
-    If it were sent to the next daemon immediately, it would use them up before any
-    daemon has the rules. The remaining time of the start is unknown, and the time that
-    has elapsed is the best estimate of it.
+    After a power failure all daemons start at the same time. A caller makes few
+    attempts. If it were sent to the next daemon immediately, it would use them up
+    before any daemon has the rules. The remaining time of the start is unknown, and the
+    elapsed time is the best estimate of it.
 
     Parameters
     ----------
--- a/packages/entry/src/cairnferry/entry/changelog/__init__.py
+++ b/packages/entry/src/cairnferry/entry/changelog/__init__.py
@@ -1,4 +1,4 @@
-"""Records in effect at a daemon that reads them from the change log."""
+"""Records in force at a daemon that reads them from the change log."""
 
 from cairnferry.entry.changelog._change_log_sync import ChangeLogSync
 from cairnferry.entry.changelog._configuration import Configuration
--- a/packages/entry/src/cairnferry/entry/changelog/_change_log_sync.py
+++ b/packages/entry/src/cairnferry/entry/changelog/_change_log_sync.py
@@ -41,7 +41,7 @@
     objects : ObjectStore
         Store of snapshots.
     configuration : Configuration
-        Records in effect at this daemon.
+        Records in force at this daemon.
     cluster : Cluster
         Membership, and the age of the last confirmed head.
     rng : random.Random
@@ -80,7 +80,7 @@
         return age > MAX_HEAD_AGE_S * (1 + self.rng.random())
 
     def refresh(self) -> Result[int, TableUnavailable]:
-        """Read the head and all rows up to it; return the revision in effect."""
+        """Read the head and all rows up to it; return the revision in force."""
         requested_at = time.monotonic()
         head = self.changes.head()
         if head.is_error():
@@ -105,7 +105,7 @@
         return Ok(None)
 
     def _apply_all(self, rows):
-        """Apply rows in order; return whether the last one is in effect."""
+        """Apply rows in order; return whether the last one is in force."""
         for row in rows:
             if self.configuration.apply(row).is_error():
                 return False
@@ -139,7 +139,7 @@
 
     @property
     def revision(self) -> int:
-        """Revision in effect at this daemon."""
+        """Revision in force at this daemon."""
         return self.configuration.revision
 
     @property
@@ -152,7 +152,7 @@
         return self.configuration.rows_from(first)
 
     def snapshot(self) -> bytes:
-        """Return a snapshot of the records in effect, for a peer."""
+        """Return a snapshot of the records in force, for a peer."""
         return self.configuration.records.to_snapshot()
 
     def document_since(self, revision: int) -> DocumentNews:
--- a/packages/entry/src/cairnferry/entry/changelog/_configuration.py
+++ b/packages/entry/src/cairnferry/entry/changelog/_configuration.py
@@ -1,4 +1,4 @@
-"""Records in effect at this daemon, whose revision never decreases."""
+"""Records in force at this daemon, whose revision never decreases."""
 
 import logging
 from collections import deque
@@ -18,12 +18,12 @@
 
 @attrs.frozen
 class Gap:
-    """Rows are missing between the revision in effect and the offered one.
+    """Rows are missing between the revision in force and the offered one.
 
     Attributes
     ----------
     held : int
-        Revision in effect.
+        Revision in force.
     offered : int
         Revision of the offered row.
     """
@@ -53,7 +53,7 @@
 
 @attrs.define
 class Configuration:
-    """The record set in effect and the latest rows that led to it.
+    """The record set in force and the latest rows that led to it.
 
     Parameters
     ----------
@@ -63,9 +63,9 @@
     Attributes
     ----------
     records : RecordSet
-        Records in effect.
+        Records in force.
     behind : CannotApply or None
-        Set if a revision could not be applied; the records in effect stay.
+        Set if a revision could not be applied; the records in force stay.
     """
 
     on_change: Callable[[RecordSet], None]
@@ -75,11 +75,11 @@
 
     @property
     def revision(self) -> int:
-        """Revision in effect."""
+        """Revision in force."""
         return self.records.revision
 
     def apply(self, row: LogRow) -> Result[bool, ApplyError]:
-        """Put the next revision into effect.
+        """Put the next revision in force.
 
         Parameters
         ----------
@@ -114,7 +114,7 @@
 
     def _reject_revision(self, revision, fault):
         # A newer release accepted a revision that this release does not support.
-        # Skipping it or rolling back would put records into effect that no operator
+        # Skipping it or rolling back would put records in force that no operator
         # submitted.
         if self.behind is None:
             log.error(
@@ -125,7 +125,7 @@
         return Error(self.behind)
 
     def install_snapshot(self, data: bytes) -> Result[bool, RecordError]:
-        """Put a snapshot into effect, if it is newer than the records in effect.
+        """Put a snapshot in force, if it is newer than the records in force.
 
         Parameters
         ----------
@@ -135,7 +135,7 @@
         Returns
         -------
         Result
-            Whether the snapshot was put into effect.
+            Whether the snapshot was put in force.
         """
         decoded = RecordSet.from_snapshot(data)
         if decoded.is_error():
--- a/packages/entry/src/cairnferry/entry/core/_core.py
+++ b/packages/entry/src/cairnferry/entry/core/_core.py
@@ -129,7 +129,7 @@
         membership = new_membership(
             cfg.name, cfg.zone, cfg.peers.advertise, str(cfg.callers)
         )
-        self.cluster = Cluster(membership, configuration, self.notes, self._spare)
+        self.cluster = Cluster(membership, configuration, self.notes, self._spare_share)
         self.cluster.tables = records.tables
         self.cluster.on_listed = self.update_shares
         self.cluster.suspicions = quarantine_note_registry(self.guard.receive)
@@ -321,24 +321,24 @@
     def _drain(self):
         """Leave without interrupting a request; return the exit code.
 
-        Callers cache a steering answer for its time to live. So this daemon continues
-        to serve for that time after the answers have stopped listing it.
+        Callers cache a steering answer for its time to live. The daemon therefore
+        continues to serve for that time after the answers no longer list it.
         """
         log.info("leaving")
         self.cluster.membership.leave()
         self.gossip.trigger_round()
         self.callers_server.start_closing()
         for hook in self.leave_hooks:
-            # They run concurrently, so that none of them delays the end.
+            # The hooks run concurrently, so that no hook delays the shutdown.
             self.spawn(hook)
         gevent.sleep(self.cfg.leaving.serve_s)
-        whole = self.callers_server.finish(self.cfg.leaving.limit_s)
+        all_answered = self.callers_server.finish(self.cfg.leaving.limit_s)
         for server in self._listeners:
             if server is not self.callers_server:
                 server.finish(1.0)
         self.stop()
-        log.info("left", extra={"every_request_answered": whole})
-        return 0 if whole else 1
+        log.info("left", extra={"every_request_answered": all_answered})
+        return 0 if all_answered else 1
 
     def apply_caller_limits(self, limits: CallerLimits) -> None:
         """Put the limits of callers in force."""
@@ -368,10 +368,12 @@
         for zone in sorted(before - zones):
             log.info("zone restored", extra={"restored": zone, "version": version})
         self.services.evacuate(zones)
-        known = {target.zone for target in self.services.targets()}
-        unknown = sorted(zones - known) if known else []
-        if unknown:
-            log.warning("no target in an evacuated zone", extra={"zones": unknown})
+        target_zones = {target.zone for target in self.services.targets()}
+        without_targets = sorted(zones - target_zones) if target_zones else []
+        if without_targets:
+            log.warning(
+                "no target in an evacuated zone", extra={"zones": without_targets}
+            )
 
     def _note_draining(self, identity, source, until):
         if source == STORE_UNREACHABLE:
@@ -398,6 +400,6 @@
         names = self.cluster.membership.own_zone_names()
         return lowest_ranked(content, names, 1) == [self.cfg.name]
 
-    def _spare(self):
+    def _spare_share(self):
         runtimes = self.services.active().values()
         return min((runtime.policy.spare for runtime in runtimes), default=1.0)
--- a/packages/entry/src/cairnferry/entry/core/_core_settings.py
+++ b/packages/entry/src/cairnferry/entry/core/_core_settings.py
@@ -18,7 +18,7 @@
 
 @attrs.frozen
 class LeavingTimes:
-    """Durations of the phases in which a daemon leaves.
+    """Durations of the phases of a daemon's departure.
 
     Attributes
     ----------
@@ -92,7 +92,7 @@
     checks_per_s : float
         Status checks per second and target, over all instances; 0 for no limit.
     leaving : LeavingTimes
-        Durations of the phases in which the daemon leaves.
+        Durations of the phases of the daemon's departure.
     seed : int or None
         Seed of the random number generator; None to use the time.
     """
--- a/packages/entry/src/cairnferry/entry/core/_ephemeral.py
+++ b/packages/entry/src/cairnferry/entry/core/_ephemeral.py
@@ -27,10 +27,11 @@
 # Seconds for a request's body to arrive; longer than any caller waits for its response.
 BODY_S = 10.0
 # File descriptors reserved for targets, peers and the platform.
-OTHER_FILES = 1200
-# Minimum limit of callers' connections.
-MIN_CALLERS = 64
-# Maximum connections to the pages for the platform, and to the directory.
+RESERVED_FILES = 1200
+# Minimum limit of callers' connections, if there are few file descriptors.
+MIN_CALLER_CONNECTIONS = 64
+# Maximum connections to the pages for the platform, and to the directory of entry
+# instances.
 PAGE_CONNECTIONS = 1000
 # Seconds between two rounds of heartbeats, and peers called in each. With 2, each
 # daemon is called by two others per round on average, regardless of their number.
@@ -76,7 +77,7 @@
     """
     ttl = min(ANSWER_TTL_S, max_ttl_s)
     serve_s = STALE_ANSWER_FACTOR * ttl
-    callers_limit = max(MIN_CALLERS, max_files - OTHER_FILES)
+    callers_limit = max(MIN_CALLER_CONNECTIONS, max_files - RESERVED_FILES)
     return CoreSettings(
         name=name,
         zone=zone,
--- a/packages/entry/src/cairnferry/entry/core/_state_view.py
+++ b/packages/entry/src/cairnferry/entry/core/_state_view.py
@@ -35,7 +35,7 @@
     guard : CrashGuard
         Requests that are blocked because they crash targets.
     limiter : Limiter
-        Limits that targets have set for themselves.
+        Limits that targets advertise.
     advisory_recorder : AdvisoryRecorder
         Advisories of targets.
     """
--- a/packages/entry/src/cairnferry/entry/daemon/__init__.py
+++ b/packages/entry/src/cairnferry/entry/daemon/__init__.py
@@ -1,4 +1,4 @@
-"""The daemon for the project's own platform interface, built from its parts."""
+"""The daemon for the default platform interface."""
 
 from cairnferry.entry.daemon._daemon import Daemon
 
--- a/packages/entry/src/cairnferry/entry/daemon/_blocked.py
+++ b/packages/entry/src/cairnferry/entry/daemon/_blocked.py
@@ -1,4 +1,4 @@
-"""Blocked requests, stored in one row of the platform's table as they are few."""
+"""Storage of blocked requests in one row of the platform's table, as they are few."""
 
 import json
 import logging
@@ -15,7 +15,7 @@
 
 
 @attrs.frozen
-class _Content:
+class _StoredBlocks:
     """Version of the table's row, 0 if it does not exist, and the blocks in it."""
 
     version: int
@@ -59,8 +59,8 @@
         if read.is_error():
             return read
         content = read.ok
-        known = content.rows.get(name)
-        if (known.version if known else 0) != version:
+        stored = content.rows.get(name)
+        if (stored.version if stored else 0) != version:
             return Error(FeedUnavailable("the row has another version"))
         rows = {key: row for key, row in content.rows.items() if key != name}
         if data is not None:
@@ -71,16 +71,18 @@
 
     def _read(self):
         found = self.table.read(BLOCKED_KEY)
-        return found.map_error(lambda fault: FeedUnavailable(str(fault))).map(_content)
+        return found.map_error(lambda fault: FeedUnavailable(str(fault))).map(
+            _parse_item
+        )
 
 
 def _encode(rows):
     return json.dumps({name: [r.version, r.value.decode()] for name, r in rows.items()})
 
 
-def _content(item):
+def _parse_item(item):
     if item is None:
-        return _Content(0, {})
+        return _StoredBlocks(0, {})
     try:
         document = json.loads(item.body)
         rows = {
@@ -94,4 +96,4 @@
             extra={"why": f"{type(exc).__name__}: {exc}"},
         )
         rows = {}
-    return _Content(item.version, rows)
+    return _StoredBlocks(item.version, rows)
--- a/packages/entry/src/cairnferry/entry/daemon/_daemon.py
+++ b/packages/entry/src/cairnferry/entry/daemon/_daemon.py
@@ -1,4 +1,4 @@
-"""The daemon for the own platform interface: change log, objects and operators."""
+"""The daemon for the default platform interface: change log, objects, operators."""
 
 import json
 import logging
@@ -38,18 +38,19 @@
 from cairnferry.settings import Settings
 from cairnferry.wire import Client
 
-# Maximum connections of operators.
+# Maximum number of operators' connections.
 OPERATOR_CONNECTIONS = 64
-# Multiple of the poll interval of the head at which the list of instances is polled.
+# Interval between two polls of the list of instances, as a multiple of the interval
+# between two polls of the head.
 LIST_POLL_FACTOR = 2
 # Seconds between two attempts to read the platform at the start.
 START_RETRY_S = 0.2
 # Pause in seconds before a write is retried, multiplied by the number of the attempt.
 WRITE_PAUSE_S = 0.03
 # Seconds between two rounds of probes.
-HOUSEKEEPING_S = 0.1
-# Rounds of probes between two updates of the targets that this daemon probes.
-SHARE_OUT_ROUNDS = 10
+PROBE_ROUND_S = 0.1
+# Rounds of probes between two assignments of targets to this daemon.
+ASSIGNMENT_ROUNDS = 10
 # Seconds between two reads of the blocked requests while there are any. Otherwise they
 # are read at the start only, and other daemons report new ones. A trial of a blocked
 # request may be late by this time.
@@ -76,15 +77,15 @@
         self._build_platform()
         self.blocked = TableBlocks(self.table)
         core.guard.table.rows = self.blocked
-        self.distribution = ChangeLogSync(
+        self.change_log_sync = ChangeLogSync(
             ChangeLog(self.table, self._pause),
             self.objects,
             self.configuration,
             None,
             core.rng,
         )
-        core.build_cluster(self.distribution, self.configuration)
-        self.distribution.cluster = core.cluster
+        core.build_cluster(self.change_log_sync, self.configuration)
+        self.change_log_sync.cluster = core.cluster
         leaving = LeavingTargets(core.cluster, core.gossip, core.services)
         self.enrolment = Enrolment(
             ListedRegistry(self.instances, leaving.report),
@@ -135,7 +136,7 @@
     def _build_operators(self):
         cfg = self._cfg
         self.submissions = Submissions(
-            self.distribution, self.configuration, self.core.gossip.trigger_round
+            self.change_log_sync, self.configuration, self.core.gossip.trigger_round
         )
         operators = OperatorsApp(
             self.configuration,
@@ -168,54 +169,55 @@
         return self.core.run(tasks)
 
     def _acquire_configuration(self):
-        """Get a first configuration from the platform or from peers."""
+        """Get the first configuration from the platform or from peers."""
         while self.configuration.revision == 0:
-            if self.distribution.refresh().is_ok():
+            if self.change_log_sync.refresh().is_ok():
                 return
-            # While the platform is unreachable, it comes from a peer after a heartbeat.
+            # While the platform is unreachable, a peer sends the configuration after a
+            # heartbeat.
             gevent.sleep(START_RETRY_S)
 
     def _poll_head(self):
         interval = self._cfg.get("platform", "poll_s")
         while True:
             gevent.sleep(interval * (0.9 + 0.2 * self.core.rng.random()))
-            if not self.distribution.should_poll():
+            if not self.change_log_sync.should_poll():
                 continue
             before = self.configuration.revision
-            self.distribution.refresh()
+            self.change_log_sync.refresh()
             if self.configuration.revision > before:
                 self.core.gossip.trigger_round()
-            self.distribution.save_snapshot()
+            self.change_log_sync.save_snapshot()
 
     def _poll_instances(self):
         interval = self._cfg.get("platform", "poll_s") * LIST_POLL_FACTOR
         self.enrolment.refresh()
         while True:
             gevent.sleep(interval * (0.9 + 0.2 * self.core.rng.random()))
-            if self.distribution.is_poller():
+            if self.change_log_sync.is_poller():
                 self.enrolment.refresh()
 
     def _poll_blocked(self):
         """Read the requests that were blocked before this daemon started."""
         guard = self.core.guard
-        is_known = False
+        was_read = False
         while True:
-            if not is_known or guard.snapshot():
+            if not was_read or guard.snapshot():
                 read = self.blocked.read()
                 if read.is_ok():
-                    is_known = True
+                    was_read = True
                     guard.apply_rows(read.ok)
-            pause = BLOCKED_POLL_S if is_known else START_RETRY_S
+            pause = BLOCKED_POLL_S if was_read else START_RETRY_S
             gevent.sleep(pause * (0.5 + self.core.rng.random()))
 
     def _probe(self):
         rounds = 0
         while True:
-            if rounds % SHARE_OUT_ROUNDS == 0:
+            if rounds % ASSIGNMENT_ROUNDS == 0:
                 self.prober.assign_targets()
             self.prober.one_round()
             rounds += 1
-            gevent.sleep(HOUSEKEEPING_S)
+            gevent.sleep(PROBE_ROUND_S)
 
     # -- events -----------------------------------------------------------------
 
@@ -239,7 +241,7 @@
         document["connections"]["operators"] = self.operators_server.connections
         return document | {
             "records": len(self.configuration.records.entries),
-            "poller": self.distribution.is_poller(),
+            "poller": self.change_log_sync.is_poller(),
             "platform": {
                 "table": attrs.asdict(self.table.meter),
                 "objects": attrs.asdict(self.objects.meter),
--- a/packages/entry/src/cairnferry/entry/daemon/_listing.py
+++ b/packages/entry/src/cairnferry/entry/daemon/_listing.py
@@ -34,7 +34,7 @@
     Parameters
     ----------
     instances : InstanceList
-        Client of the list.
+        Client of the platform's list.
     on_leaving_targets : callable
         Called with the addresses of all leaving targets, at each read of the list.
     """
@@ -92,7 +92,7 @@
     gossip : Gossip
         Spreads the notes.
     services : Services
-        The targets in force.
+        Targets in force at this daemon.
     """
 
     cluster: Cluster
--- a/packages/entry/src/cairnferry/entry/following/_evacuations.py
+++ b/packages/entry/src/cairnferry/entry/following/_evacuations.py
@@ -12,7 +12,7 @@
 
 @attrs.frozen
 class Evacuations:
-    """Puts the evacuated zones in force.
+    """Puts the evacuation of zones in force.
 
     Parameters
     ----------
--- a/packages/entry/src/cairnferry/entry/following/_followed.py
+++ b/packages/entry/src/cairnferry/entry/following/_followed.py
@@ -31,7 +31,7 @@
 TARGETS_COALESCE_S = 0.6
 
 # Seconds between two updates of the age of the confirmed rules: a small part of the
-# 10 s from which a daemon considers itself stale.
+# 10 s after which a daemon considers itself stale.
 CONFIRM_S = 0.5
 # Name of the table of targets in messages between daemons.
 TARGETS = "targets"
@@ -52,7 +52,7 @@
     decoders : RecordDecoders
         Decoders of the rows.
     core : Core
-        The daemon in which records are put in force.
+        Daemon in which the records are put in force.
 
     Attributes
     ----------
@@ -98,8 +98,8 @@
         )
         self._followers.append(self._rules_follower)
         evacuations = Evacuations(self.decoders.evacuated, self._evacuate)
-        # Listed before the targets, so that a daemon that starts knows the evacuated
-        # zones before it has targets.
+        # Listed before the targets, so that a starting daemon has the evacuated zones
+        # before it has targets.
         secondary = FollowedTable(EVACUATIONS, evacuations.apply_rows)
         self.tables[EVACUATIONS] = secondary
         self._rules_follower.split(secondary, lambda key: key == self.rules_key)
@@ -276,7 +276,7 @@
         return self._exchange.update_since(revision)
 
     def handover(self) -> Handover:
-        """Return the records in force, for a daemon that starts during an outage."""
+        """Return the records in force, for a daemon that starts in an outage."""
         targets, evacuations = (
             self.tables[name].copy.news_since(0) for name in (TARGETS, EVACUATIONS)
         )
@@ -287,7 +287,7 @@
         return self._handovers.page(url)
 
     def apply_handover(self, handover: Handover, source: str) -> bool:
-        """Put records of another daemon in force; return whether they were applied.
+        """Put another daemon's records in force; return whether they were applied.
 
         Newer records from the store take precedence.
 
--- a/packages/entry/src/cairnferry/entry/following/_following.py
+++ b/packages/entry/src/cairnferry/entry/following/_following.py
@@ -30,7 +30,7 @@
 # retained.
 OUTAGE_MEMORY_S = 8.0
 # Seconds between two checks whether this daemon is a watcher: a small part of the time
-# within which a change has to be in force.
+# within which a change has to come into force.
 ROLE_CHECK_S = 0.15
 
 log = logging.getLogger(__name__)
@@ -72,8 +72,8 @@
         Random numbers for jitter.
     coalesce_s : float
         Pause in seconds between two calls. Changes come in groups, and each call is
-        billed. It should be far below the time within which a change has to be in
-        force.
+        billed. It should be far below the time within which a change has to come
+        into force.
     note_call : callable
         Called with the purpose and the outcome of each call, to count it.
     is_watcher : callable
--- a/packages/entry/src/cairnferry/entry/following/_handover.py
+++ b/packages/entry/src/cairnferry/entry/following/_handover.py
@@ -3,7 +3,7 @@
 A daemon has no persistent state. One that is restarted during an outage of the
 platform's store would refuse every request until its end, although the other daemons
 hold all records. A handover contains no shared key: the daemon serves callers, and
-joins the others once the store is back.
+joins the others once the store is reachable again.
 """
 
 import base64
@@ -114,8 +114,8 @@
     return text.encode("latin-1")
 
 
-def _write_rows(news, encode):
-    return [[row.key, encode(row.value), row.version] for row in news.rows]
+def _write_rows(update, encode):
+    return [[row.key, encode(row.value), row.version] for row in update.rows]
 
 
 def _read_rows(entries, version, decode):
--- a/packages/entry/src/cairnferry/entry/following/_instances.py
+++ b/packages/entry/src/cairnferry/entry/following/_instances.py
@@ -41,8 +41,8 @@
         """Apply all rows, by key; only changed rows are decoded."""
         entries = {}
         for key, row in rows.items():
-            known = self._rows.get(key) is row
-            entry = self._entries.get(key) if known else self._read(key, row)
+            is_unchanged = self._rows.get(key) is row
+            entry = self._entries.get(key) if is_unchanged else self._read(key, row)
             if entry is not None:
                 entries[key] = entry
         self._rows = rows
--- a/packages/entry/src/cairnferry/entry/following/_rules_exchange.py
+++ b/packages/entry/src/cairnferry/entry/following/_rules_exchange.py
@@ -35,7 +35,7 @@
 # Pause in seconds before a peer that has reached its rate limit is called again.
 BUSY_RETRY_S = 0.15
 # Maximum number of such retries. A peer that was restarted meanwhile has no rules to
-# send, and another peer will offer them.
+# send; another peer offers them.
 MAX_BUSY_RETRIES = 8
 # Reason of a failed call whose method a peer of an earlier release does not know.
 UNKNOWN_METHOD = "TApplicationException"
--- a/packages/entry/src/cairnferry/entry/following/_table.py
+++ b/packages/entry/src/cairnferry/entry/following/_table.py
@@ -1,4 +1,4 @@
-"""Local copy of a followed table, which retains lapsed rows after an outage."""
+"""Local copy of a followed table, which retains expired rows after an outage."""
 
 import logging
 import time
@@ -9,7 +9,7 @@
 
 from cairnferry.coordination import Batch, Row, TableReplica, TableUpdate, era_of
 
-# Seconds after the end of an outage for which removed rows are retained. Rows lapse
+# Seconds after the end of an outage for which removed rows are retained. Rows expire
 # while their writers cannot reach the store. According to the platform, live writers
 # have written them again within two seconds.
 RETURN_GRACE_S = 1.9
@@ -90,14 +90,14 @@
         return is_newer
 
     def _retain_reverted(self, removed):
-        """Keep the previous rows in force after the store was restored from a copy.
+        """Keep the previous rows in force after a restore of the store from a copy.
 
         The copy is seconds old: it may list targets that have left since, or show
         leaving targets as not leaving. Live writers write their rows again. A row that
         is unchanged at the end of the grace period is used as it is.
         """
         self.hold_for(RETURN_GRACE_S)
-        gevent.spawn_later(self.grace_left, self._release)
+        gevent.spawn_later(self.grace_left, self._drop_retained)
         rows = self.copy.rows
         was_removed = {
             key: _RevertedRow(row, None) for key, row in rows.items() if key in removed
@@ -124,16 +124,16 @@
         if self.grace_left <= 0:
             return
         if not self._retained:
-            gevent.spawn_later(self.grace_left, self._release)
+            gevent.spawn_later(self.grace_left, self._drop_retained)
         self._retained |= {
             k: row for k, row in self._published.items() if k not in rows
         }
 
-    def _release(self):
+    def _drop_retained(self):
         """Drop the retained rows that were not written again."""
         if self.grace_left > 0:
             # Another outage has extended the grace period.
-            gevent.spawn_later(self.grace_left, self._release)
+            gevent.spawn_later(self.grace_left, self._drop_retained)
             return
         gone = sorted(self._retained.keys() - self.copy.rows.keys())
         self._retained = {}
--- a/packages/entry/src/cairnferry/entry/following/_target_rows.py
+++ b/packages/entry/src/cairnferry/entry/following/_target_rows.py
@@ -75,13 +75,13 @@
             self.faulty_rows.note("targets", key, str(decoded.error))
             return None
         target = decoded.ok
-        known = self._starts.get(key, 0)
-        if target.started_ms < known:
+        latest_start = self._starts.get(key, 0)
+        if target.started_ms < latest_start:
             # The row is a late write from before the target's restart. Its address may
             # no longer be in use.
             log.info(
                 "ignored a target row with an earlier start time",
-                extra={"target": key, "known": known},
+                extra={"target": key, "known": latest_start},
             )
             gevent.spawn_later(EARLIER_START_S, self._accept_earlier_start, key, target)
             return self.in_force.get(key)
@@ -111,14 +111,14 @@
     def _log_changes(self, targets):
         before = {target.identity: target for target in self.in_force.values()}
         after = {target.identity: target for target in targets.values()}
-        came = sorted(after.keys() - before.keys())
-        went = sorted(before.keys() - after.keys())
+        added = sorted(after.keys() - before.keys())
+        removed = sorted(before.keys() - after.keys())
         changed = sorted(
             identity
             for identity, target in after.items()
             if before.get(identity, target).lifecycle is not target.lifecycle
         )
-        if came or went or changed:
+        if added or removed or changed:
             log.info(
-                "targets", extra={"came": came, "went": went, "lifecycle": changed}
+                "targets", extra={"came": added, "went": removed, "lifecycle": changed}
             )
--- a/packages/entry/src/cairnferry/entry/http/_small_apps.py
+++ b/packages/entry/src/cairnferry/entry/http/_small_apps.py
@@ -11,7 +11,7 @@
 # Maximum size in bytes of a POST body, which holds a row of an instance, and maximum
 # time in seconds for it to arrive.
 MAX_FORM_BYTES = 65536
-FORM_S = 5.0
+FORM_BODY_S = 5.0
 TEXT = "text/plain; version=0.0.4"
 
 
@@ -75,6 +75,6 @@
 
     def _answer_form(self, answer, handler):
         try:
-            return answer(handler.read_body(MAX_FORM_BYTES, FORM_S))
+            return answer(handler.read_body(MAX_FORM_BYTES, FORM_BODY_S))
         except BadRequest as exc:
             return Page.of("400 Bad Request", {"error": str(exc)})
--- a/packages/entry/src/cairnferry/entry/members/_cluster.py
+++ b/packages/entry/src/cairnferry/entry/members/_cluster.py
@@ -20,7 +20,7 @@
 from cairnferry.peers import Heartbeat, TableState
 
 # Age in seconds of the last confirmed head from which a daemon may lack accepted
-# changes. Callers are steered to other daemons from then on.
+# changes, so that callers are steered to other daemons.
 STALE_HEAD_S = 10.0
 # Spare capacity of an idle daemon, in thousandths.
 FULL_SPARE = 1000
@@ -90,7 +90,7 @@
     suspicions : NoteRegistry or None
         Notes on requests that crashed targets.
     limits : NoteRegistry or None
-        Notes on limits that targets have set for themselves.
+        Notes on limits that targets advertise.
     listed : dict of str to ListedInstance
         Instances listed by the platform or the registry, by name.
     tables : dict of str to SharedTable
@@ -144,23 +144,23 @@
             return STEER_AWAY
         return int(self.spare() * FULL_SPARE)
 
-    def apply_heartbeat(self, theirs: Heartbeat) -> bool:
+    def apply_heartbeat(self, received: Heartbeat) -> bool:
         """Apply a peer's heartbeat; return whether it has updates to pass on."""
         now = time.monotonic()
-        has_updates = self.membership.merge(theirs.sender, now)
-        for member in theirs.member_updates:
+        has_updates = self.membership.merge(received.sender, now)
+        for member in received.member_updates:
             has_updates = self.membership.merge(member, now) or has_updates
-        for note in theirs.notes:
+        for note in received.notes:
             has_updates = self.post(note) or has_updates
-        for note in theirs.suspicions:
+        for note in received.suspicions:
             has_updates = self.post_suspicion(note) or has_updates
-        for note in theirs.limits:
+        for note in received.limits:
             has_updates = self.post_limit(note) or has_updates
-        confirmed_at = now - theirs.confirmed_age
-        health = PeerHealth(theirs.revision, theirs.spare, confirmed_at)
-        self._health[theirs.sender.name] = health
-        if theirs.revision == self.configuration.revision:
-            self.confirmation.confirm(now, theirs.confirmed_age)
+        confirmed_at = now - received.confirmed_age
+        health = PeerHealth(received.revision, received.spare, confirmed_at)
+        self._health[received.sender.name] = health
+        if received.revision == self.configuration.revision:
+            self.confirmation.confirm(now, received.confirmed_age)
         return has_updates
 
     def prune(self) -> None:
@@ -198,7 +198,7 @@
         return self._post_to(self.suspicions, note, again)
 
     def post_limit(self, note: Note, again: bool = False) -> bool:
-        """Record a note on a limit set by a target; return whether it was new.
+        """Record a note on a target's advertised limit; return whether it was new.
 
         Parameters
         ----------
@@ -209,14 +209,14 @@
         """
         return self._post_to(self.limits, note, again)
 
-    def _post_to(self, board, note, again):
-        if board is None:
+    def _post_to(self, note_registry, note, again):
+        if note_registry is None:
             return False
         now = time.monotonic()
         members = len(self.membership.others())
         if again:
-            board.spread_again((note.subject, note.source), now, members)
-        return board.post(note, now, members)
+            note_registry.spread_again((note.subject, note.source), now, members)
+        return note_registry.post(note, now, members)
 
     def count_instances(self) -> int:
         """Return an upper estimate of the instances that share common budgets.
--- a/packages/entry/src/cairnferry/entry/members/_enrolment.py
+++ b/packages/entry/src/cairnferry/entry/members/_enrolment.py
@@ -1,4 +1,4 @@
-"""Discovery of the other daemons by a registry to which each daemon is written once."""
+"""Discovery of other daemons through a registry that holds one row per daemon."""
 
 import json
 import logging
@@ -27,8 +27,8 @@
 
 # Seconds between two checks for outdated rows.
 MAINTENANCE_S = 5.0
-# Seconds without a sign of life from an instance after which its row is removed: half
-# of the time for which members remember a lost one, and longer than a restart.
+# Seconds after which the row of a lost instance is removed: half of the time for which
+# members remember a lost instance, and longer than a restart takes.
 STALE_ROW_S = 60.0
 
 # Length of the shared key in bytes; twice the minimum that peers accept.
@@ -62,8 +62,9 @@
 
     Heartbeats decide which instances are alive. A row is written once. It is removed
     when its instance leaves, or by another instance once its instance has been lost
-    for long. Each daemon that starts would call the address of a stale row in vain,
-    and each stale row would reduce the other instances' shares of common budgets.
+    for `STALE_ROW_S`. Each daemon that starts would call the address of a stale row
+    without success, and each stale row would reduce the other instances' shares of
+    common budgets.
 
     Most instances join through another one, which writes the rows of many instances at
     once. Otherwise 312 instances that start together would make some 1,200 calls
@@ -138,7 +139,7 @@
             self.gossip.cross_zone_after = joined_at + SETTLE_S
 
     def _join(self):
-        """Join through an instance known from the settings; return the success."""
+        """Join through an instance from the settings; return whether this succeeded."""
         reply = self.joiner and self.joiner.request(self.me)
         if reply is None:
             return False
@@ -180,12 +181,12 @@
         return True
 
     def refresh(self) -> None:
-        """Read the list of instances once, for a registry that the platform keeps."""
-        enrolled = self.registry.read()
-        if enrolled.is_error():
-            log.debug("registry not read", extra={"why": str(enrolled.error)})
+        """Read the list of instances once, if the platform maintains the registry."""
+        listing = self.registry.read()
+        if listing.is_error():
+            log.debug("registry not read", extra={"why": str(listing.error)})
             return
-        self.apply_entries(enrolled.ok.entries)
+        self.apply_entries(listing.ok.entries)
 
     def apply_entries(self, entries: Collection[EntryRow]) -> None:
         """Apply a list of instances, which may be partial."""
@@ -219,13 +220,13 @@
         if not self._is_writing:
             self._is_writing = True
             gevent.spawn(self._write_joining)
-        known = self._entries | self._pending
-        others = known.values()
+        entries = self._entries | self._pending
+        others = entries.values()
         selected = self._select(others, joining, same_zone=True, count=REPLY_SAME_ZONE)
         selected += self._select(
             others, joining, same_zone=False, count=REPLY_OTHER_ZONE
         )
-        count = len(known | {self.me.name: self.me})
+        count = len(entries | {self.me.name: self.me})
         return JoinReply(
             self.keys.own_key(), (self.me, *selected), self.me.peer_address, count
         )
@@ -246,7 +247,7 @@
         return Page.of("200 OK", reply.to_json())
 
     def _select(self, others, joining, same_zone, count):
-        """Select entries of each zone; the last ones to join are likely alive."""
+        """Select the latest entries of each zone, as these are most likely alive."""
         by_zone = {}
         for entry in others:
             is_same = entry.zone == joining.zone
@@ -287,7 +288,7 @@
         gone = self._find_stale(now)
         zone = self.me.zone
         live = [m for m in self.cluster.membership.live() if m.zone == zone]
-        # To an instance that is partitioned from the others, all of them look lost. If
+        # An instance that is partitioned from the others considers all of them lost. If
         # it removed their rows, daemons that start then would find only this one. If it
         # dropped them from the list, it would claim the common budgets for itself.
         if len(live) <= len(self._missing_since.keys() - self._removed):
@@ -299,9 +300,9 @@
             # A store that was restored from a copy may lack the key. Daemons that start
             # then would generate another key, and all others would refuse them.
             self.registry.restore_key(self.keys.own_key())
-        left = gone - self._removed
-        if left and is_first and self._remove(left):
-            self._removed |= left
+        to_remove = gone - self._removed
+        if to_remove and is_first and self._remove(to_remove):
+            self._removed |= to_remove
 
     def leave(self) -> None:
         """Remove this instance's row; after a failure others remove it later."""
--- a/packages/entry/src/cairnferry/entry/members/_gossip.py
+++ b/packages/entry/src/cairnferry/entry/members/_gossip.py
@@ -69,8 +69,8 @@
         Availability zones of all listed daemons, alive or not, by address.
     cross_zone_after : float
         Monotonic time in seconds up to which other zones are not called. A daemon that
-        has just joined knows a part of its zone only, and would report members to the
-        other zones that do not represent it.
+        has just joined knows only some members of its zone, and would report members
+        to other zones that are not the zone's representatives.
     permits : callable
         Issues permits for limited targets to a daemon, given its name and its request.
     rounds : int
@@ -86,7 +86,7 @@
     listed_peers: dict[str, str] = attrs.field(factory=dict)
     cross_zone_after: float = -math.inf
     permits: Callable[[str, list[PermitQuery]], list[PermitReply]] = (
-        lambda requester, wanted: []
+        lambda requester, requested: []
     )
     _contact_unknown: bool = False
     rounds: int = 0
@@ -152,20 +152,20 @@
         return membership.me.name in membership.own_zone_names()[:CROSS_ZONE_CALLERS]
 
     def _cross_zone_calls(self):
-        """List a call to another zone, and one to a zone without known members."""
+        """Return a call to another zone, and one to a zone without known members."""
         member = self.cluster.membership.next_cross_zone_peer()
         calls = [(member.name, member.peer_address, member.zone)] if member else []
-        me = self.cluster.membership.me.zone
-        live = {m.zone for m in self.cluster.membership.live()}
+        own_zone = self.cluster.membership.me.zone
+        live_zones = {m.zone for m in self.cluster.membership.live()}
         unknown = [
             (None, address, zone)
             for address, zone in self.listed_peers.items()
-            if zone != me and zone not in live
+            if zone != own_zone and zone not in live_zones
         ]
         return calls + self._sample(unknown, 1)
 
     def _unknown_peer_calls(self):
-        """List calls to addresses at which no live member is known."""
+        """Return calls to addresses at which no live member is known."""
         me = self.cluster.membership.me
         others = self.cluster.membership.others()
         alive = {m.peer_address for m in others if m.state is not MemberState.GONE}
@@ -183,14 +183,14 @@
     def _call(self, name, address, zone):
         link = self.links.link_to(address, zone != self.cluster.membership.me.zone)
         try:
-            theirs = link.heartbeat(self.cluster.heartbeat(zone))
-            self._apply_and_fetch(theirs, link)
+            received = link.heartbeat(self.cluster.heartbeat(zone))
+            self._apply_and_fetch(received, link)
         except PeerCallFailed as exc:
             if name is not None:
                 self.cluster.membership.suspect(name, time.monotonic())
             log.debug("heartbeat failed", extra={"peer": address, "why": exc.reason})
 
-    def _apply_and_fetch(self, theirs: Heartbeat, link):
+    def _apply_and_fetch(self, received: Heartbeat, link):
         """Apply a heartbeat, and fetch newer rules and tables from its sender.
 
         Raises
@@ -198,18 +198,18 @@
         PeerCallFailed
             If the sender did not answer.
         """
-        has_updates = self.cluster.apply_heartbeat(theirs)
+        has_updates = self.cluster.apply_heartbeat(received)
         before = self.cluster.configuration.revision
-        if theirs.revision > before:
-            self.records.pull_from(link, theirs.revision)
-            self.cluster.apply_heartbeat(theirs)
-        has_updates = self._fetch_tables(theirs, link) or has_updates
+        if received.revision > before:
+            self.records.pull_from(link, received.revision)
+            self.cluster.apply_heartbeat(received)
+        has_updates = self._fetch_tables(received, link) or has_updates
         if has_updates or self.cluster.configuration.revision > before:
             self.trigger_round()
 
-    def _fetch_tables(self, theirs, link):
+    def _fetch_tables(self, received, link):
         has_updates = False
-        for state in theirs.tables:
+        for state in received.tables:
             table = self.cluster.tables.get(state.table)
             if table is None:
                 continue
@@ -229,30 +229,30 @@
 
     # -- calls of peers ---------------------------------------------------------
 
-    def heartbeat(self, theirs: Heartbeat) -> Heartbeat:
+    def heartbeat(self, received: Heartbeat) -> Heartbeat:
         """Answer a peer's heartbeat."""
-        has_updates = self.cluster.apply_heartbeat(theirs)
-        if self._is_ahead(theirs):
+        has_updates = self.cluster.apply_heartbeat(received)
+        if self._is_ahead(received):
             # The answer must not wait for the fetch.
-            gevent.spawn(self._fetch, theirs)
+            gevent.spawn(self._fetch, received)
         if has_updates:
             self.trigger_round()
-        return self.cluster.heartbeat(theirs.sender.zone)
+        return self.cluster.heartbeat(received.sender.zone)
 
-    def _is_ahead(self, theirs):
-        if theirs.revision > self.cluster.configuration.revision:
+    def _is_ahead(self, received):
+        if received.revision > self.cluster.configuration.revision:
             return True
         tables = self.cluster.tables
         return any(
             state.table in tables and state.version > tables[state.table].copy.version
-            for state in theirs.tables
+            for state in received.tables
         )
 
-    def _fetch(self, theirs):
-        is_cross_zone = theirs.sender.zone != self.cluster.membership.me.zone
-        link = self.links.link_to(theirs.sender.peer_address, is_cross_zone)
+    def _fetch(self, received):
+        is_cross_zone = received.sender.zone != self.cluster.membership.me.zone
+        link = self.links.link_to(received.sender.peer_address, is_cross_zone)
         try:
-            self._apply_and_fetch(theirs, link)
+            self._apply_and_fetch(received, link)
         except PeerCallFailed as exc:
             log.info(
                 "pull from a peer failed",
@@ -261,16 +261,16 @@
 
     def news_since(self, table: str, version: int) -> TableUpdate:
         """Return the updates of a table since a version."""
-        known = self.cluster.tables.get(table)
-        if known is None:
+        shared_table = self.cluster.tables.get(table)
+        if shared_table is None:
             return TableUpdate(False, (), 0)
-        return known.copy.news_since(version)
+        return shared_table.copy.news_since(version)
 
     def issue_permits(
-        self, requester: str, wanted: list[PermitQuery]
+        self, requester: str, requested: list[PermitQuery]
     ) -> list[PermitReply]:
         """Issue permits for limited targets to a daemon."""
-        return self.permits(requester, wanted)
+        return self.permits(requester, requested)
 
     def rows_from(self, first: int) -> list[LogRow]:
         """Return the rows of the change log from a revision on."""
--- a/packages/entry/src/cairnferry/entry/members/_joining.py
+++ b/packages/entry/src/cairnferry/entry/members/_joining.py
@@ -26,7 +26,7 @@
 MAX_ROUND_S = 0.4
 # Seconds for which other instances are called before the store is used.
 MAX_JOIN_S = 2.0
-# The same if an instance answers that it is not enrolled yet, as it is about to be.
+# The same if an instance answers that it is not enrolled yet, because it will be soon.
 # With the shorter time all instances would query the store at the end of an outage.
 MAX_JOIN_NOT_READY_S = 6.0
 OK_STATUS = 200
@@ -101,25 +101,25 @@
     others: tuple[Address, ...]
     is_first: bool
     rng: random.Random
-    _has_asked: bool = False
+    _was_requested: bool = False
 
     def __attrs_post_init__(self):
         self.is_first = self.is_first or not self.others
 
     def request(self, me: EntryRow) -> JoinReply | None:
         """Request to join, with retries; return None if the store is to be used."""
-        if not self.others or (self.is_first and not self._has_asked):
-            self._has_asked = True
+        if not self.others or (self.is_first and not self._was_requested):
+            self._was_requested = True
             return None
         begin = time.monotonic()
         # After a failure of the store, one round of calls precedes the next attempt.
-        time_limit = 0.0 if self._has_asked else MAX_JOIN_S
+        time_limit = 0.0 if self._was_requested else MAX_JOIN_S
         time_limit *= 0.8 + 0.4 * self.rng.random()
-        self._has_asked = True
+        self._was_requested = True
         pause = ROUND_S
         while True:
             for other in self.rng.sample(self.others, len(self.others)):
-                match self._ask_one(other, me):
+                match self._request_from(other, me):
                     case JoinReply() as reply:
                         return reply
                     case answer if answer == UNAVAILABLE_STATUS and time_limit:
@@ -129,7 +129,7 @@
             gevent.sleep(pause * (0.5 + self.rng.random()))
             pause = min(MAX_ROUND_S, 1.6 * pause)
 
-    def _ask_one(self, other, me):
+    def _request_from(self, other, me):
         """Return the reply, the status of another response, or None on a failure."""
         client = Client(other.host, other.port)
         body = json.dumps(attrs.asdict(me)).encode()
--- a/packages/entry/src/cairnferry/entry/members/_permit_issuers.py
+++ b/packages/entry/src/cairnferry/entry/members/_permit_issuers.py
@@ -32,7 +32,7 @@
 class PermitIssuers:
     """Selects the issuer of a target by rank, in the target's availability zone.
 
-    The daemons of a zone know all members of the zone and detect a loss soon. Daemons
+    The daemons of a zone know all its members and detect a loss promptly. Daemons
     of other zones use the platform's list. A daemon issues no permits unless it is the
     first of its zone in its own view.
 
@@ -46,7 +46,7 @@
     _unresponsive: dict[str, float] = attrs.field(factory=dict)
 
     def issuer_for(self, target: str, zone: str) -> PermitIssuer | None:
-        """Return the issuer of a target; None if no candidate is left."""
+        """Return the issuer of a target; None if there is no candidate."""
         now = time.monotonic()
         names = [
             name
@@ -58,8 +58,8 @@
 
     def is_issuer(self, target: str, zone: str) -> bool:
         """Return whether this daemon issues the permits for a target."""
-        me = self.cluster.membership.me.name
-        return lowest_ranked(target, self._candidates(zone), 1) == [me]
+        own_name = self.cluster.membership.me.name
+        return lowest_ranked(target, self._candidates(zone), 1) == [own_name]
 
     def mark_unresponsive(self, name: str) -> None:
         """Skip a daemon that did not answer, for `UNRESPONSIVE_S`."""
@@ -87,15 +87,15 @@
         return max(1, live) / max(1, live, len(listed))
 
     def _candidates(self, zone) -> Iterable[str]:
-        """List the daemons of a zone, or those of all zones if it has none."""
+        """Return the daemons of a zone, or those of all zones if it has none."""
         membership = self.cluster.membership
         if zone == membership.me.zone:
             return membership.own_zone_names()
         return self._usable(self._listed_in(zone)) or self._in_all_zones()
 
     def _in_all_zones(self):
-        mine = self.cluster.membership.me.zone
-        others = [n for n, each in self.cluster.listed.items() if each.zone != mine]
+        own_zone = self.cluster.membership.me.zone
+        others = [n for n, each in self.cluster.listed.items() if each.zone != own_zone]
         return [*self._usable(others), *self.cluster.membership.own_zone_names()]
 
     def _listed_in(self, zone):
--- a/packages/entry/src/cairnferry/entry/members/_steering.py
+++ b/packages/entry/src/cairnferry/entry/members/_steering.py
@@ -44,10 +44,10 @@
 
     def answer(self, service: str, zone: str | None) -> dict:
         """Return the answer for a service and the caller's availability zone."""
-        near = zone or self.zone
+        caller_zone = zone or self.zone
         usable = self.cluster.usable(time.monotonic())
         members = self._shard_of(service, usable)
-        members.sort(key=lambda member: (member.zone != near, member.name))
+        members.sort(key=lambda member: (member.zone != caller_zone, member.name))
         entries = [self._entry(member) for member in members]
         return {"entries": entries, "ttl_ms": int(self.ttl * MS_PER_S)}
 
--- a/packages/entry/src/cairnferry/entry/members/_watcher_role.py
+++ b/packages/entry/src/cairnferry/entry/members/_watcher_role.py
@@ -86,11 +86,11 @@
         membership = self.cluster.membership
         candidates = membership.own_zone_names()[:CANDIDATES]
         notes = self.cluster.notes
-        served = [
+        available = [
             n for n in candidates if not notes.is_in_effect(n, STORE_UNREACHABLE, now)
         ]
         # If the store is unreachable for all candidates, the first ones keep trying.
-        return membership.me.name in (served or candidates)[: self._watchers(now)]
+        return membership.me.name in (available or candidates)[: self._watchers(now)]
 
     def _watchers(self, now):
         """Return the number of watchers in the zone; it grows without confirmations."""
@@ -102,6 +102,6 @@
         return usual + 1 + int((age - UNCONFIRMED_S) / ESCALATION_S)
 
     def report_store_failure(self) -> bool:
-        """Record for all daemons that the store did not answer; return if it is new."""
+        """Post a note that the store did not answer; return whether the note is new."""
         name = self.cluster.membership.me.name
         return self.cluster.post(Note(name, STORE_UNREACHABLE, STORE_FAILURE_S))
--- a/packages/entry/src/cairnferry/entry/operators/_operators.py
+++ b/packages/entry/src/cairnferry/entry/operators/_operators.py
@@ -31,6 +31,7 @@
     UnknownSchemaVersion,
 )
 
+# Seconds after which the outcome of a submitted change is reported as unknown.
 SUBMIT_TIMEOUT_S = 10.0
 BODY_LIMITS = BodyLimits(size=4 * 1024 * 1024, seconds=10.0)
 MAX_TOKEN_FILE_BYTES = 65536
@@ -185,7 +186,7 @@
                 return _json_answer("201 Created", document)
 
     def _change_status(self, change_id):
-        found = self.submissions.distribution.changes.status(change_id)
+        found = self.submissions.change_log_sync.changes.status(change_id)
         if found.is_error():
             return _error_answer(OutcomeUnknown(found.error.reason), change_id)
         revision = found.ok.revision
--- a/packages/entry/src/cairnferry/entry/operators/_submissions.py
+++ b/packages/entry/src/cairnferry/entry/operators/_submissions.py
@@ -10,6 +10,7 @@
 from cairnferry.entry.changelog import ChangeLogSync, Configuration
 from cairnferry.records import Change
 
+# Maximum number of changes that are committed together.
 MAX_GROUP_SIZE = 256
 
 
@@ -19,7 +20,7 @@
 
     Parameters
     ----------
-    distribution : ChangeLogSync
+    change_log_sync : ChangeLogSync
         Updates this daemon to the head of the log before a change is checked.
     configuration : Configuration
         Configuration in force at this daemon.
@@ -27,7 +28,7 @@
         Called after a commit, to notify other daemons at once.
     """
 
-    distribution: ChangeLogSync
+    change_log_sync: ChangeLogSync
     configuration: Configuration
     on_accepted: object
     _queue: Queue = attrs.field(factory=Queue)
@@ -52,7 +53,9 @@
     def run(self) -> None:
         """Commit the queued changes in groups."""
         group = GroupCommit(
-            self.distribution.changes, self.distribution.refresh, self._begin
+            self.change_log_sync.changes,
+            self.change_log_sync.refresh,
+            self._start_draft,
         )
         while True:
             waiting = [self._queue.get()]
@@ -61,7 +64,7 @@
             group.commit(waiting)
             self.on_accepted()
 
-    def _begin(self):
+    def _start_draft(self):
         draft = self.configuration.records.draft()
 
         def check(document):
--- a/packages/entry/src/cairnferry/entry/targets/_cold_targets.py
+++ b/packages/entry/src/cairnferry/entry/targets/_cold_targets.py
@@ -40,7 +40,7 @@
     metrics: Metrics
     is_needed: Event
     broadcast: Callable[[Note, bool], None]
-    _log_cold: RateLimit = attrs.field(factory=RateLimit)
+    _log_limit: RateLimit = attrs.field(factory=RateLimit)
 
     def note_check(
         self, target: Target, warmup_s: float | None, service: Service, sent: float
@@ -114,7 +114,7 @@
         cold = self.limits.cold.get(identity)
         self.metrics.limits["cold"] += 1
         self.is_needed.set()
-        if self._log_cold.allows():
+        if self._log_limit.allows():
             log.info(
                 "target cold",
                 extra={
@@ -122,6 +122,6 @@
                     "for_s": round(cold.until - time.monotonic(), 3),
                     "per_s": cold.per_s,
                     "by": by,
-                    "left_out": self._log_cold.take_suppressed(),
+                    "left_out": self._log_limit.take_suppressed(),
                 },
             )
--- a/packages/entry/src/cairnferry/entry/targets/_crash_detector.py
+++ b/packages/entry/src/cairnferry/entry/targets/_crash_detector.py
@@ -192,5 +192,5 @@
     """Return a request's digest, caller, ID and running time as text for the log."""
     ran_ms = round((interrupted.ended - interrupted.started) * 1000)
     identity = interrupted.identity
-    who = f"{identity.content} of {identity.caller_tag}"
-    return f"{who} {interrupted.request_id or '-'} {ran_ms} ms"
+    request = f"{identity.content} of {identity.caller_tag}"
+    return f"{request} {interrupted.request_id or '-'} {ran_ms} ms"
--- a/packages/entry/src/cairnferry/entry/targets/_exchange_result.py
+++ b/packages/entry/src/cairnferry/entry/targets/_exchange_result.py
@@ -19,7 +19,7 @@
 SERVER_ERROR = 500
 # Failures that the target's side caused by closing or resetting the connection before
 # the answer was complete.
-BREAKS = frozenset([Failure.RESET, Failure.CUT_SHORT])
+CONNECTION_BREAKS = frozenset([Failure.RESET, Failure.CUT_SHORT])
 
 
 def classify(outcome: Outcome, refusal: RefusalContract | None) -> AttemptResult:
@@ -51,7 +51,9 @@
 def lost_result(outcome: Incomplete) -> Lost:
     """Return the result of an exchange that ended without a complete answer."""
     failure = outcome.failure
-    return Lost(timed_out=failure is Failure.TIMEOUT, broken=failure in BREAKS)
+    return Lost(
+        timed_out=failure is Failure.TIMEOUT, broken=failure in CONNECTION_BREAKS
+    )
 
 
 def _classify_reply(reply, refusal):
--- a/packages/entry/src/cairnferry/entry/targets/_probing.py
+++ b/packages/entry/src/cairnferry/entry/targets/_probing.py
@@ -80,8 +80,8 @@
         The daemons of the target's zone are ranked, or all daemons if that zone has
         none.
         """
-        near = [name for name, zone in zones.items() if zone == target.zone]
-        names = near or list(zones)
+        same_zone = [name for name, zone in zones.items() if zone == target.zone]
+        names = same_zone or list(zones)
         ranked = sorted(names, key=lambda name: rank(target.name, name))
         return probe_share(ranked, alive, self.cluster.membership.me.name)
 
@@ -97,7 +97,7 @@
             outcome = client.call("GET", target.health_path, timeout=PROBE_TIMEOUT_S)
         finally:
             client.close()
-        draining = isinstance(outcome, Reply) and _says_draining(outcome)
+        draining = isinstance(outcome, Reply) and _reports_draining(outcome)
         healthy = isinstance(outcome, Reply) and outcome.status == HTTP_OK
         self.metrics.probes["healthy" if healthy else "unhealthy"] += 1
         if draining:
@@ -109,8 +109,8 @@
             runtime.policy.note_probe(target.identity, healthy, time.monotonic())
 
 
-def _says_draining(reply):
-    """Return whether the JSON of a health answer (draft health+json) says draining."""
+def _reports_draining(reply):
+    """Return whether a health answer in JSON (draft health+json) reports draining."""
     try:
         document = json.loads(reply.body)
     except ValueError:
--- a/packages/entry/src/cairnferry/entry/targets/_services.py
+++ b/packages/entry/src/cairnferry/entry/targets/_services.py
@@ -1,4 +1,4 @@
-"""Routes and services in effect at this daemon."""
+"""Routes and services in force at this daemon."""
 
 import random
 import time
@@ -42,7 +42,7 @@
     Attributes
     ----------
     revision : int
-        Revision of the records in effect; 0 before the first one.
+        Revision of the records in force; 0 before the first one.
     evacuated : frozenset of str
         Availability zones whose targets get no requests.
     """
@@ -62,7 +62,7 @@
     _runtimes: dict[str, ServiceRuntime] = attrs.field(factory=dict)
 
     def install(self, records: RecordSet) -> None:
-        """Put a set of records into effect."""
+        """Put a set of records in force."""
         services = records.of_kind(Kind.SERVICE)
         routes = records.of_kind(Kind.ROUTE)
         self._set_rules(records.revision, services, routes)
@@ -71,7 +71,7 @@
     def install_rules(
         self, revision: int, services: list[Service], routes: list[Route]
     ) -> None:
-        """Put services and routes into effect if targets have another source."""
+        """Put services and routes in force if targets have another source."""
         self._set_rules(revision, services, routes)
         self._update_all()
 
@@ -97,7 +97,7 @@
         return WeightedRoundRobin.start(route.backends, self.rng)
 
     def install_targets(self, targets: list[Target]) -> None:
-        """Put the targets of all services into effect."""
+        """Put the targets of all services in force."""
         self._targets = {}
         for target in targets:
             self._targets.setdefault(target.service, []).append(target)
--- a/packages/entry/src/cairnferry/entry/telemetry/_faulty_rows.py
+++ b/packages/entry/src/cairnferry/entry/telemetry/_faulty_rows.py
@@ -14,7 +14,7 @@
 class FaultyRowLog:
     """Counts and logs rows that are damaged or come from another writer.
 
-    Such a row is skipped, and the other rows stay in effect. Only the log and the
+    Such a row is skipped, and the other rows stay in force. Only the log and the
     metrics show it. Log lines are limited in rate, so that many such rows don't flood
     the log.
 
--- a/packages/entry/src/cairnferry/entry/telemetry/_logs.py
+++ b/packages/entry/src/cairnferry/entry/telemetry/_logs.py
@@ -9,6 +9,7 @@
 
 from cairnferry.entry.telemetry._log_lines import LineHandler
 
+# Log lines of one kind per second, and in one burst.
 RATE = 5.0
 BURST = 20.0
 
@@ -61,14 +62,16 @@
     rate: float = RATE
     burst: float = BURST
     _tokens: float = BURST
-    _at: float = attrs.field(factory=time.monotonic)
+    _refilled_at: float = attrs.field(factory=time.monotonic)
     _suppressed: int = 0
 
     def allows(self) -> bool:
         """Return whether a line may be written now."""
         now = time.monotonic()
-        self._tokens = min(self.burst, self._tokens + (now - self._at) * self.rate)
-        self._at = now
+        self._tokens = min(
+            self.burst, self._tokens + (now - self._refilled_at) * self.rate
+        )
+        self._refilled_at = now
         if self._tokens < 1:
             self._suppressed += 1
             return False
--- a/packages/entry/src/cairnferry/entry/telemetry/_metrics.py
+++ b/packages/entry/src/cairnferry/entry/telemetry/_metrics.py
@@ -13,7 +13,7 @@
 US_PER_S = 1_000_000
 QUANTILES = (50.0, 90.0, 99.0, 99.9)
 # Upper bounds in seconds of the exported histogram buckets, from an answer without any
-# work up to the longest time limit that the users' callers set.
+# work up to the longest time limit that callers set.
 BOUNDS_S = (0.005, 0.01, 0.025, 0.05, 0.1, 0.2, 0.3, 0.5, 0.8, 1.2, 2.0, 3.0, 6.0, 12.0)
 
 
--- a/packages/peers/peer.thrift
+++ b/packages/peers/peer.thrift
@@ -10,8 +10,8 @@
   6: required i32 state,
 }
 
-// A note on a target that expires by itself, such as "its health check says that
-// it is draining".
+// A note on a target or a request, such as "the health check reports draining". It
+// expires after `remaining_ms`.
 struct Note {
   1: required string subject,
   2: required string source,
@@ -23,7 +23,8 @@
   1: required string table,
   // Version of the table in the store that the copy equals.
   2: required i64 version,
-  // Milliseconds for which removed rows are kept, because the store was unavailable.
+  // Milliseconds for which the sender still keeps removed rows, because the store was
+  // unavailable.
   3: required i32 grace_ms,
 }
 
--- a/packages/peers/src/cairnferry/peers/_messages.py
+++ b/packages/peers/src/cairnferry/peers/_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the protocol in the project's own types, and their conversion."""
+"""Message types of the project, and their conversion from and to Thrift types."""
 
 import math
 
@@ -35,7 +35,8 @@
     version : int
         Version of the table that the copy equals.
     grace_s : float
-        Seconds for which removed rows are kept, because the store was unavailable.
+        Seconds for which the daemon still keeps removed rows, because the store was
+        unavailable.
     """
 
     table: str
@@ -154,7 +155,7 @@
         news=[_member_to_wire(member) for member in heartbeat.member_updates],
         notes=[_note_to_wire(note) for note in heartbeat.notes],
         # Omitted if empty, as in heartbeats of earlier releases.
-        tables=[_state_to_wire(state) for state in heartbeat.tables] or None,
+        tables=[_table_state_to_wire(state) for state in heartbeat.tables] or None,
         suspicions=[_note_to_wire(note) for note in heartbeat.suspicions] or None,
         limits=[_note_to_wire(note) for note in heartbeat.limits] or None,
     )
@@ -175,7 +176,7 @@
         spare=message.spare,
         member_updates=tuple(_member_from_wire(member) for member in message.news),
         notes=tuple(_note_from_wire(note) for note in message.notes),
-        tables=tuple(_state_from_wire(state) for state in message.tables or ()),
+        tables=tuple(_table_state_from_wire(state) for state in message.tables or ()),
         suspicions=tuple(_note_from_wire(note) for note in message.suspicions or ()),
         limits=tuple(_note_from_wire(note) for note in message.limits or ()),
     )
@@ -283,11 +284,11 @@
     return LimitState(message.target, per_s, age, cold_s, cold_per_s)
 
 
-def _state_to_wire(state):
+def _table_state_to_wire(state):
     return ttypes.TableState(state.table, state.version, int(state.grace_s * MS_PER_S))
 
 
-def _state_from_wire(message):
+def _table_state_from_wire(message):
     return TableState(message.table, message.version, message.grace_ms / MS_PER_S)
 
 
--- a/packages/peers/src/cairnferry/peers/_server.py
+++ b/packages/peers/src/cairnferry/peers/_server.py
@@ -62,7 +62,7 @@
     def issue_permits(
         self, requester: str, queries: list[PermitQuery]
     ) -> list[PermitReply]:
-        """Issue permits to send requests to limited targets to a daemon."""
+        """Issue permits for requests to limited targets to a daemon."""
 
 
 class _ThriftAdapter:
--- a/packages/peers/src/cairnferry/peers/_transport.py
+++ b/packages/peers/src/cairnferry/peers/_transport.py
@@ -18,7 +18,7 @@
         Bytes on all connections.
     messages : int
         Answered calls, both from and to this daemon.
-    called : Counter
+    call_bytes : Counter
         Bytes of calls from this daemon, in both directions, by kind of call and by
         "far" or "near" (whether the peer is in another availability zone). Traffic
         between zones is billed.
--- a/packages/policy/src/cairnferry/policy/_attempts.py
+++ b/packages/policy/src/cairnferry/policy/_attempts.py
@@ -25,13 +25,13 @@
     limits : TargetLimits
         Rate limits of targets, and the permits to send to them.
     work : WorkEstimates
-        Estimates by route, which also rank the requests by urgency.
+        Estimated work of the requests of each route, and their urgency.
     capacity : Capacity
         Concurrency limits of this daemon.
 
     Attributes
     ----------
-    made : dict of AttemptKind to int
+    counts : dict of AttemptKind to int
         Number of attempts started so far, by kind.
     """
 
@@ -39,7 +39,7 @@
     limits: TargetLimits
     work: WorkEstimates
     capacity: Capacity
-    made: dict[AttemptKind, int] = attrs.field(factory=_zero_counts)
+    counts: dict[AttemptKind, int] = attrs.field(factory=_zero_counts)
 
     def place(self, call: Call, kind: AttemptKind, now: float) -> Attempt | None:
         """Choose a target and start an attempt; return None if there is no capacity."""
@@ -88,7 +88,7 @@
             urgent = self.work.is_urgent(call.rank)
             self.limits.spend(target.identity, urgent, now)
         self.capacity.acquire(call.priority)
-        self.made[kind] += 1
+        self.counts[kind] += 1
         return attempt
 
     def end(self, attempt: Attempt) -> None:
--- a/packages/policy/src/cairnferry/policy/_service.py
+++ b/packages/policy/src/cairnferry/policy/_service.py
@@ -41,7 +41,7 @@
     Attributes
     ----------
     retries_denied : int
-        Number of retries and hedges that the budget denied.
+        Number of retries and hedges that the retry budget denied.
     """
 
     def __init__(self, *args, **kwargs):
@@ -65,7 +65,7 @@
     @property
     def attempts(self) -> dict[AttemptKind, int]:
         """Number of attempts that were started, by kind."""
-        return self._attempts.made
+        return self._attempts.counts
 
     # -- requests --------------------------------------------------------------
 
@@ -176,9 +176,9 @@
                     call, _cause_of(result), now
                 )
             case NextStep.REPORT_UNKNOWN:
-                late = isinstance(result, Lost) and result.timed_out
+                timed_out = isinstance(result, Lost) and result.timed_out
                 return self._refusals.give_up(
-                    call, Cause.DEADLINE if late else Cause.TARGET_LOST, now
+                    call, Cause.DEADLINE if timed_out else Cause.TARGET_LOST, now
                 )
 
     def cancelled(self, attempt: Attempt, now: float) -> None:
@@ -197,8 +197,8 @@
         latency = self._targets.latency
         if not self.service.hedging or not latency.high:
             return None
-        late = self.settings.hedge_factor * latency.usual
-        return max(self.settings.hedge_min_s, late, latency.high)
+        delay = self.settings.hedge_factor * latency.usual
+        return max(self.settings.hedge_min_s, delay, latency.high)
 
     @property
     def repeats_hedge_check(self) -> bool:
@@ -280,7 +280,7 @@
     def release(self, now: float) -> list[tuple[Call, Decision]]:
         """Return decisions about waiting requests that can be sent or have timed out.
 
-        The driver calls it after an attempt ended and when a `Wait` expires.
+        The driver calls this method after an attempt ended and when a `Wait` expires.
 
         Parameters
         ----------
@@ -406,7 +406,7 @@
 
 
 def _decide_with_open_attempts(result):
-    """Relay a successful answer; leave other results to the open attempts."""
+    """Relay a successful response; leave other results to the open attempts."""
     match result:
         case Answered(failed=False):
             return Relay()
--- a/packages/policy/src/cairnferry/policy/_service_state.py
+++ b/packages/policy/src/cairnferry/policy/_service_state.py
@@ -73,7 +73,7 @@
         self._budget.update(self.service, self.settings, self._instances)
 
     def update(self, service: Service, targets: list[Target], now: float) -> None:
-        """Apply the records in force; observations of known targets are kept."""
+        """Apply the current records; observations of known targets are kept."""
         is_new = not self._targets
         self.service = service
         self._budget.update(service, self.settings, self._instances)
@@ -103,7 +103,7 @@
         identity: str,
         advisory: TargetAdvisory,
         now: float,
-        heard_by: str | None = None,
+        request_id: str | None = None,
     ) -> None:
         """Record the advisory in the headers of a target's response.
 
@@ -115,17 +115,17 @@
             The advisory.
         now : float
             Time in seconds.
-        heard_by : str or None, optional
+        request_id : str or None, optional
             ID of the request whose response carried the advisory, for the log.
         """
-        self._targets.note_advisory(identity, advisory, now, heard_by)
+        self._targets.note_advisory(identity, advisory, now, request_id)
 
     def note_probe(self, identity: str, healthy: bool, now: float) -> None:
         """Record the result of a health probe."""
         self._targets.note_probe(identity, healthy, now)
 
     def note_missed_check(self, identity: str, now: float) -> None:
-        """Record that a target did not answer a status check in time."""
+        """Record that a target did not respond to a status check in time."""
         self._targets.note_missed_check(identity, now)
 
     def note_warmup(self, identity: str, warm_at: float) -> None:
@@ -135,14 +135,14 @@
     def note_check(
         self, identity: str, report: LoadReport | None, healthy: bool, now: float
     ) -> None:
-        """Record the answer to a status check.
+        """Record the response to a status check.
 
         Parameters
         ----------
         identity : str
             Identity of one run of the target's process.
         report : LoadReport or None
-            Load of the target; None if it did not answer.
+            Load of the target; None if it did not respond.
         healthy : bool
             Whether the target reports itself as healthy.
         now : float
@@ -151,13 +151,13 @@
         self._targets.note_check(identity, report, healthy, now)
 
     def permits_to_request(
-        self, barred: Container[str], now: float
+        self, excluded: Container[str], now: float
     ) -> list[PermitRequest]:
         """Return the permits for rate-limited targets that the next requests may use.
 
         Parameters
         ----------
-        barred : container of str
+        excluded : container of str
             Identities of targets for which no permit is to be requested now.
         now : float
             Time in seconds.
@@ -168,4 +168,4 @@
             Number of permits to request, by target.
         """
         expected = self._demand.expected(now)
-        return self._targets.permits_to_request(expected, barred, now)
+        return self._targets.permits_to_request(expected, excluded, now)
--- a/packages/policy/src/cairnferry/policy/_settings.py
+++ b/packages/policy/src/cairnferry/policy/_settings.py
@@ -12,6 +12,7 @@
     TwoChoices,
 )
 
+# Value of a setting, a number or a time in seconds, that is never reached.
 UNLIMITED = 1_000_000
 
 
@@ -31,8 +32,8 @@
         Age in seconds at which the weight of a report has decayed to 1/e.
     latency_gain : float
         Weight of a new latency sample, 0 to 1.
-    latency_memory_s : float
-        Age in seconds at which the weight of a target's latency has halved.
+    latency_half_life_s : float
+        Age in seconds at which the weight of a slow target's latency has halved.
     failure_latency_factor : float
         Latency that a failure counts as, as a multiple of the usual latency.
     eject_failures : int
@@ -54,8 +55,8 @@
     background_share : float
         Share of the window that background requests may use.
     background_growth : float
-        Growth of the background window per window of answers. It is slow because
-        the load that background requests add is reported late.
+        Growth of the background window per window of responses. It is slow
+        because the load that background requests add is reported late.
     background_load : float
         Load above which no background requests are sent: the estimated load of one
         target, or the mean reported load of all.
@@ -67,7 +68,7 @@
         Mean reported load above which the window is reduced, and up to which it
         grows.
     min_cut_factor : float
-        Smallest factor by which the window is reduced at once.
+        Smallest factor by which the window is reduced in one step.
     min_window : float
         Smallest concurrency window, in requests.
     retry_burst : float
@@ -77,7 +78,7 @@
     max_attempts : int
         Largest number of attempts for one request, including hedges.
     high_quantile : float
-        Quantile of the answer times that counts as a high latency.
+        Quantile of the response times that counts as a high latency.
     hedge_factor : float
         Delay before a hedge as a multiple of the usual latency; the delay is never
         shorter than the high latency.
@@ -110,7 +111,7 @@
     report_weight: float = 0.25
     report_decay_s: float = 0.1
     latency_gain: float = 0.2
-    latency_memory_s: float = 2.0
+    latency_half_life_s: float = 2.0
     failure_latency_factor: float = 10.0
     eject_failures: int = 3
     eject_base_s: float = 1.0
--- a/packages/policy/src/cairnferry/policy/admission/_admission.py
+++ b/packages/policy/src/cairnferry/policy/admission/_admission.py
@@ -17,7 +17,7 @@
     Parameters
     ----------
     settings : PolicySettings
-        Constants.
+        Constants of the policy.
     targets : TargetSet
         Targets of the service.
     capacity : Capacity
@@ -54,8 +54,8 @@
         """
         if self.targets.none_left_for(call, self.start_by(call)):
             return self.targets.no_target_cause
-        left = self.start_by(call) - now
-        if self._expected_wait(call) > self.settings.max_wait_share * left:
+        time_left = self.start_by(call) - now
+        if self._expected_wait(call) > self.settings.max_wait_share * time_left:
             return Cause.DEADLINE
         if len(self.waiting) >= limit and not self._displace_background(call):
             return Cause.OVERLOAD
--- a/packages/policy/src/cairnferry/policy/admission/_budget.py
+++ b/packages/policy/src/cairnferry/policy/admission/_budget.py
@@ -62,19 +62,19 @@
         bool
             Whether the further attempt is allowed.
         """
-        least = 1 - self.burst if on_credit else 1
-        if self.tokens < least:
+        min_tokens = 1 - self.burst if on_credit else 1
+        if self.tokens < min_tokens:
             return False
         self.tokens -= 1
         return True
 
     def refund(self) -> None:
-        """Take back the last `spend`: nothing was sent."""
+        """Return the token of the last `spend`, as nothing was sent."""
         self.tokens = min(self.burst, self.tokens + 1)
 
 
 # Share of its slack that an instance may hold unspent; the rest accrues over time.
-MAX_HELD_SHARE = 0.7
+MAX_UNSPENT_SHARE = 0.7
 
 
 @attrs.define
@@ -114,15 +114,15 @@
 
     def update(self, service: Service, settings: PolicySettings, instances: int):
         """Apply a changed record or a changed number of instances."""
-        part = settings.budget_share
-        self.ratio = part * service.retry_ratio
-        self.slack = part * service.retry_slack / instances
+        share = settings.budget_share
+        self.ratio = share * service.retry_ratio
+        self.slack = share * service.retry_slack / instances
         self.tokens = min(self.tokens, self.max_tokens)
 
     @property
     def max_tokens(self) -> float:
         """Largest number of tokens held; at least 1, or none could ever be spent."""
-        return max(1.0, MAX_HELD_SHARE * self.slack)
+        return max(1.0, MAX_UNSPENT_SHARE * self.slack)
 
     def earn(self, now: float) -> None:
         """Count a first attempt."""
@@ -141,7 +141,7 @@
         return True
 
     def refund(self) -> None:
-        """Take back the last `spend`: nothing was sent."""
+        """Return the token of the last `spend`, as nothing was sent."""
         self._add(1.0)
 
     def _fill(self, now):
@@ -169,7 +169,7 @@
         return RetryBudget(
             service.retry_ratio, settings.retry_burst, settings.retry_start
         )
-    part = settings.budget_share
+    share = settings.budget_share
     return WindowBudget(
-        part * service.retry_ratio, part * service.retry_slack, service.retry_window_s
+        share * service.retry_ratio, share * service.retry_slack, service.retry_window_s
     )
--- a/packages/policy/src/cairnferry/policy/admission/_capacity.py
+++ b/packages/policy/src/cairnferry/policy/admission/_capacity.py
@@ -3,7 +3,7 @@
 import attrs
 
 from cairnferry.policy._settings import PolicySettings
-from cairnferry.policy.admission._concurrency_window import Window
+from cairnferry.policy.admission._concurrency_window import ConcurrencyWindow
 from cairnferry.records import Priority
 
 # Share of all slots with which the window of a daemon starts.
@@ -28,16 +28,18 @@
     settings: PolicySettings
     in_flight: int = 0
     background_in_flight: int = 0
-    _window: Window = attrs.field(init=False)
-    _background: Window = attrs.field(init=False)
+    _window: ConcurrencyWindow = attrs.field(init=False)
+    _background: ConcurrencyWindow = attrs.field(init=False)
 
     def __attrs_post_init__(self):
         self._window = self._new_window(1.0)
         self._background = self._new_window(self.settings.background_growth)
 
     def _new_window(self, growth):
-        least = self.settings.min_window
-        return Window(least, least, least, self.settings.min_cut_factor, growth)
+        minimum = self.settings.min_window
+        return ConcurrencyWindow(
+            minimum, minimum, minimum, self.settings.min_cut_factor, growth
+        )
 
     @property
     def limit(self) -> float:
@@ -74,7 +76,7 @@
         self.background_in_flight += priority is Priority.BACKGROUND
 
     def release(self, priority: Priority) -> None:
-        """Count off a request that ended."""
+        """Stop counting a request that ended."""
         self.in_flight -= 1
         self.background_in_flight -= priority is Priority.BACKGROUND
 
@@ -86,7 +88,7 @@
         reported_load : float
             Mean number of requests at a target as a share of its slots.
         now, latency : float
-            Time and usual answer time in seconds.
+            Time and usual response time of the service in seconds.
         """
         intended = self.settings.full_report_load
         _adapt_window(
--- a/packages/policy/src/cairnferry/policy/admission/_concurrency_window.py
+++ b/packages/policy/src/cairnferry/policy/admission/_concurrency_window.py
@@ -10,8 +10,8 @@
 
 
 @attrs.define
-class Window:
-    """Limit that grows by about `growth` per window of answers.
+class ConcurrencyWindow:
+    """Limit that grows by about `growth` per window of responses.
 
     Parameters
     ----------
@@ -20,9 +20,9 @@
     minimum, maximum : float
         Lower and upper bound of the limit.
     min_cut_factor : float
-        Smallest factor by which the limit is reduced at once.
+        Smallest factor by which the limit is reduced in one step.
     growth : float, optional
-        Growth of the limit per window of answers.
+        Growth of the limit per window of responses.
     """
 
     limit: float
@@ -47,16 +47,16 @@
             self.limit = min(self.maximum, self.limit + self.growth / self.limit)
 
     def cut(self, excess: float, now: float, latency: float) -> None:
-        """Reduce the limit, at most once per answer time.
+        """Reduce the limit, at most once per response time.
 
-        All answers of one burst report the same overload.
+        All responses of one burst report the same overload.
 
         Parameters
         ----------
         excess : float
             Reported load divided by the intended load; above 1.
         now, latency : float
-            Time and usual answer time of the service in seconds.
+            Time and usual response time of the service in seconds.
         """
         if now - self._cut_at >= latency:
             factor = max(self.min_cut_factor, 1 / excess)
--- a/packages/policy/src/cairnferry/policy/admission/_refusals.py
+++ b/packages/policy/src/cairnferry/policy/admission/_refusals.py
@@ -1,4 +1,4 @@
-"""Requests that are given up: their answers and Retry-After."""
+"""Responses to requests that are given up, and their Retry-After."""
 
 import math
 import random
@@ -50,14 +50,14 @@
     def give_up(
         self, call: Call, cause: Cause, now: float, capacity_at: float = math.inf
     ) -> Refuse | GiveUp:
-        """Give up a request, with the answer that the evidence of its attempts allows.
+        """Give up a request; the response follows from the evidence of its attempts.
 
         Parameters
         ----------
         call : Call
             The request.
         cause : Cause
-            Cause.
+            Reason for giving up the request.
         now : float
             Time in seconds.
         capacity_at : float, optional
@@ -82,7 +82,7 @@
         """Return the Retry-After in seconds of a request that found no capacity.
 
         A retry after that time can still meet the objective. Jitter prevents requests
-        that were refused together from returning together.
+        that were refused together from being retried together.
         """
         if capacity_at < math.inf:
             return max(self.settings.min_retry_after_s, capacity_at - now)
--- a/packages/policy/src/cairnferry/policy/choice/_choice.py
+++ b/packages/policy/src/cairnferry/policy/choice/_choice.py
@@ -4,9 +4,10 @@
 
 import attrs
 
-from cairnferry.policy.targets import ReportTrust, TargetState
+from cairnferry.policy.targets import ReportWeighting, TargetState
 
-# Load-independent part of the cost of a target, so that latency matters at idle ones.
+# Part of a target's cost that does not depend on its load, so that the latencies of
+# idle targets are compared too.
 IDLE_COST = 0.5
 # Load that a target is assumed to have in addition at the start of its ramp.
 RAMP_LOAD = 0.8
@@ -61,9 +62,9 @@
         The strategy.
     rng : random.Random
         Source of randomness.
-    trust : ReportTrust
-        Weight of load reports by age.
-    latency_memory : float
+    weighting : ReportWeighting
+        Weight of load reports by their age.
+    latency_half_life : float
         Age in seconds at which the weight of a slow target's latency has halved.
     ramp : float
         Time in seconds over which a new target ramps up to its full share.
@@ -73,11 +74,11 @@
 
     strategy: Strategy
     rng: random.Random
-    trust: ReportTrust
-    latency_memory: float
+    weighting: ReportWeighting
+    latency_half_life: float
     ramp: float
     mean_others_load: float = 0.0
-    _turn: int = 0
+    _next_index: int = 0
 
     def choose(
         self,
@@ -96,7 +97,7 @@
         now : float
             Time in seconds.
         usual_latency : float
-            Usual answer time of the service in seconds, for targets without samples.
+            Usual response time of the service in seconds, for targets without samples.
         max_load : float
             Estimated load from which a target counts as full.
 
@@ -111,23 +112,23 @@
                     near, far, now, usual_latency, max_load, sample, spill
                 )
             case TwoChoices():
-                drawn = self._draw(near + far, 2)
-                return min(drawn, key=_own_in_flight, default=None)
+                pair = self._draw(near + far, 2)
+                return min(pair, key=_own_in_flight, default=None)
             case LeastInFlight():
-                everything = near + far
-                self.rng.shuffle(everything)
-                return min(everything, key=_own_in_flight, default=None)
+                targets = near + far
+                self.rng.shuffle(targets)
+                return min(targets, key=_own_in_flight, default=None)
             case RoundRobin():
-                return self._next_in_turn(near + far)
+                return self._next_round_robin(near + far)
             case RandomChoice():
-                everything = near + far
-                return self.rng.choice(everything) if everything else None
+                targets = near + far
+                return self.rng.choice(targets) if targets else None
 
-    def _next_in_turn(self, targets):
+    def _next_round_robin(self, targets):
         if not targets:
             return None
-        self._turn += 1
-        return targets[self._turn % len(targets)]
+        self._next_index += 1
+        return targets[self._next_index % len(targets)]
 
     def _draw(self, targets, count):
         """Draw a random sample, or all targets in a random rotation if there are few.
@@ -160,13 +161,13 @@
         best_load = 0.0
         best_cost = 0.0
         for target in targets:
-            load = target.load(now, self.trust, self.mean_others_load)
+            load = target.load(now, self.weighting, self.mean_others_load)
             age = now - target.ready_since
             if age < self.ramp:
                 load += self._ramp_load(age)
             if load >= max_load:
                 continue
-            slowness = target.slowness(now, usual, self.latency_memory)
+            slowness = target.slowness(now, usual, self.latency_half_life)
             cost = slowness * (IDLE_COST + load)
             if best is None or cost < best_cost:
                 best = target
--- a/packages/policy/src/cairnferry/policy/choice/_status_checks.py
+++ b/packages/policy/src/cairnferry/policy/choice/_status_checks.py
@@ -1,9 +1,9 @@
 """Choice of a target by status checks right before a request is sent.
 
 Other workloads on a target's machine change its speed several times a second, by a
-factor of four. The report in a target's last answer is obsolete by the next request,
-whereas a status check is answered within a millisecond and reports the current load
-and slowdown.
+factor of four. The report in a target's last response is obsolete by the next request,
+whereas the response to a status check arrives within a millisecond and reports the
+current load and slowdown.
 """
 
 import itertools
@@ -23,7 +23,7 @@
     ----------
     rounds : tuple of int
         Number of targets checked in each round. The rounds stop as soon as a target
-        that is idle and at its usual speed has answered.
+        that is idle and at its usual speed has responded.
     fresh_s : float
         Age in seconds up to which an earlier report replaces a status check: a small
         part of the 300 ms after which the speed of a machine has changed.
@@ -34,8 +34,9 @@
         most this share at the best target, no further targets are checked: a faster
         target has no benefit to the caller, and each check has a cost.
     near_share : float
-        The same share, beyond which targets of other zones are checked as well. Each
-        of these checks costs traffic between zones.
+        Share of the time left to the objective, as for `good_share`, beyond which
+        targets of other zones are checked as well. Each of these checks costs traffic
+        between zones.
     good_costs, near_costs : tuple of float
         Lower bound, default and upper bound of the cost that these shares correspond
         to; 1 is the cost of an idle target at its usual speed. The default, in the
@@ -51,7 +52,7 @@
         Number of requests at a target, as a share of its slots, above which the target
         counts as full while the work of the route is unknown.
     unconditional_share : float
-        Share of slots up to which a target is sent any request. It is all of them,
+        Share of slots up to which a target is sent any request. It covers all slots,
         because a request that starts at a nearly full target is slower, but slows down
         no other request.
     objective_share : float
@@ -59,18 +60,18 @@
         at a target with more requests than that. A request that is late there also
         delays those queued behind it.
     less_urgent_share : float
-        The same share for requests that are less urgent than others of the service, so
-        that capacity is left for the more urgent ones.
+        `objective_share` for requests that are less urgent than others of the service,
+        so that capacity is left for the more urgent ones.
     hedge_check_interval_s : float
         Time in seconds between two calls of `hedge` for an idempotent request.
         It is as long as a status check may take, so that each step can use the
         status check that the previous one started.
     overdue_factor : float
         Multiple of the expected time from which the target of an open attempt is
-        checked. Work varies by a third, so that most requests have ended before.
+        checked. Work varies by a third, so most requests have ended before.
     stuck_factor : float
         Multiple of the expected time from which the request is sent to a second
-        target even if the first one still answers status checks. Beyond it the
+        target even if the first one still responds to status checks. Beyond it the
         objective is missed; the retry budget bounds the number of such hedges.
     far_cost : float
         Added cost of another availability zone, for its latency and traffic price.
@@ -79,7 +80,7 @@
         runs.
     unhealthy_cost : float
         Cost factor of a target that reports itself as unhealthy in a status check.
-        The report may be wrong, so that such a target is the last choice but is not
+        The report may be wrong, so such a target is the last choice but is not
         excluded. The factor equals the effect of the busiest neighbouring workloads.
     """
 
@@ -192,8 +193,8 @@
         A random sample would differ for each request, and few of its targets would
         still have an open connection.
         """
-        left = (target for target in targets if target.identity not in checked)
-        return list(itertools.islice(left, count))
+        unchecked = (target for target in targets if target.identity not in checked)
+        return list(itertools.islice(unchecked, count))
 
     def _cheapest(self, near, far, now, max_age):
         best_cost, best = 0.0, None
@@ -251,8 +252,8 @@
             return in_use <= self.settings.full_share * slots
         cfg = self.settings
         share = cfg.objective_share if urgent else cfg.less_urgent_share
-        left = call.objective - now
-        return self.cost(target, now) * work <= share * left
+        time_left = call.objective - now
+        return self.cost(target, now) * work <= share * time_left
 
 
 def _max_cost(call, work, now):
@@ -264,7 +265,7 @@
 
 def _share_within(share, max_cost, bounds):
     """Return a share of the highest cost within bounds, or the default if unknown."""
-    least, usual, most = bounds
+    minimum, default, maximum = bounds
     if max_cost is None:
-        return usual
-    return min(most, max(least, share * max_cost))
+        return default
+    return min(maximum, max(minimum, share * max_cost))
--- a/packages/policy/src/cairnferry/policy/choice/_work.py
+++ b/packages/policy/src/cairnferry/policy/choice/_work.py
@@ -2,8 +2,8 @@
 
 import attrs
 
-# Weight of a new sample. The estimate follows about the last ten answers, which is one
-# second of a route.
+# Weight of a new sample, 0 to 1. The estimate reflects about the last ten responses,
+# which a route gets in one second.
 SAMPLE_GAIN = 0.1
 # Upper bound of a sample as a multiple of the estimate: the time of a request that hung
 # does not reflect its work.
@@ -40,17 +40,17 @@
         route : str
             Name of its route.
         elapsed : float
-            Time in seconds from the start of the attempt to the answer.
+            Time in seconds from the start of the attempt to the response.
         cost : float
             Expected time as a multiple of the usual time.
         """
         sample = elapsed / max(cost, 1.0)
-        known = self._seconds.get(route)
-        if known is None:
+        estimate = self._seconds.get(route)
+        if estimate is None:
             self._seconds[route] = sample
             return
-        self._seconds[route] = known + SAMPLE_GAIN * (
-            min(sample, MAX_SAMPLE_FACTOR * known) - known
+        self._seconds[route] = estimate + SAMPLE_GAIN * (
+            min(sample, MAX_SAMPLE_FACTOR * estimate) - estimate
         )
 
     def seconds(self, route: str) -> float:
--- a/packages/policy/src/cairnferry/policy/requests/_evidence.py
+++ b/packages/policy/src/cairnferry/policy/requests/_evidence.py
@@ -13,14 +13,14 @@
 
 @attrs.frozen
 class Answered:
-    """A complete answer was received: the request ran.
+    """A complete response was received: the request ran.
 
     Attributes
     ----------
     failed : bool
-        Whether the answer is a server error.
+        Whether the response is a server error.
     report : LoadReport or None
-        Load of the target, if the answer contains it.
+        Load of the target, if the response contains it.
     """
 
     failed: bool = False
@@ -36,7 +36,7 @@
     draining : bool
         Whether the refusal says that the target is draining.
     report : LoadReport or None
-        Load of the target, if the answer contains it.
+        Load of the target, if the response contains it.
     """
 
     draining: bool = False
@@ -52,7 +52,8 @@
     deadline : bool
         Whether the deadline of the request was the reason, not the target.
     withdrawn : bool
-        Whether the target asked for no further requests before this one was written.
+        Whether the target requested a back-off or started to drain before the request
+        was written.
     """
 
     deadline: bool = False
@@ -61,7 +62,7 @@
 
 @attrs.frozen
 class Lost:
-    """The request was written without a complete answer: it may have run.
+    """The request was written without a complete response: it may have run.
 
     Attributes
     ----------
--- a/packages/policy/src/cairnferry/policy/requests/_model.py
+++ b/packages/policy/src/cairnferry/policy/requests/_model.py
@@ -53,7 +53,7 @@
     max_attempts : int or None
         Largest number of attempts that the route allows; None uses the settings.
     objective : float or None
-        Time in seconds by which an answer is useful to the caller; None if not set.
+        Time in seconds by which a response is useful to the caller; None if not set.
     rank : int
         Urgency; 0 is the most urgent.
     route : str
@@ -111,7 +111,7 @@
     checked : set of str
         Identities of the targets that were checked.
     may_relay : bool
-        Whether an answer is available to relay if no target is found.
+        Whether a response is available to relay if no target is found.
     pauses : int
         Number of pauses made to wait for a permit.
     """
@@ -223,7 +223,7 @@
 
 @attrs.frozen
 class Relay:
-    """Relay the target's answer to the caller."""
+    """Relay the target's response to the caller."""
 
 
 @attrs.frozen
@@ -233,12 +233,12 @@
 
 @attrs.frozen
 class Refuse:
-    """Tell the caller immediately that the request did not run.
+    """Report to the caller immediately that the request did not run.
 
     Attributes
     ----------
     cause : Cause
-        Reason.
+        Reason for giving up the request.
     retry_after : float
         Retry-After in seconds.
     """
@@ -249,12 +249,12 @@
 
 @attrs.frozen
 class GiveUp:
-    """Tell the caller immediately that it is unknown whether the request ran.
+    """Report to the caller immediately that it is unknown whether the request ran.
 
     Attributes
     ----------
     cause : Cause
-        Reason.
+        Reason for giving up the request.
     retry_after : float
         Retry-After in seconds.
     """
--- a/packages/policy/src/cairnferry/policy/search/_advisory_keeper.py
+++ b/packages/policy/src/cairnferry/policy/search/_advisory_keeper.py
@@ -36,7 +36,7 @@
         name: str,
         advisory: TargetAdvisory,
         now: float,
-        heard_by: str | None,
+        request_id: str | None,
     ) -> None:
         """Record an advisory.
 
@@ -50,7 +50,7 @@
             The advisory.
         now : float
             Time in seconds.
-        heard_by : str or None
+        request_id : str or None
             ID of the request whose response carried the advisory.
         """
         back_offs, leaving = self.advisories.back_offs, self.advisories.leaving
@@ -62,12 +62,12 @@
             ):
                 for_s = round(advisory.back_off_s, 3)
                 self.events.note(
-                    name, TargetCondition.BACKING_OFF, for_s=for_s, heard_by=heard_by
+                    name, TargetCondition.BACKING_OFF, for_s=for_s, heard_by=request_id
                 )
         if advisory.leaving_s:
             was_leaving = leaving.until(identity) > now
             if leaving.note(identity, now + advisory.leaving_s) and not was_leaving:
-                self.events.note(name, TargetCondition.LEAVING, heard_by=heard_by)
+                self.events.note(name, TargetCondition.LEAVING, heard_by=request_id)
 
     def restore(self, state: TargetState) -> None:
         """Apply the recorded advisories to the state of a target.
--- a/packages/policy/src/cairnferry/policy/search/_results.py
+++ b/packages/policy/src/cairnferry/policy/search/_results.py
@@ -25,7 +25,9 @@
     TargetState,
 )
 
+# Weight of a new load report in the means over all targets, 0 to 1.
 REPORTED_LOAD_GAIN = 0.05
+# Maximum number of times that consecutive refusals double the pause of a target.
 MAX_REFUSAL_DOUBLINGS = 6
 
 
@@ -49,7 +51,7 @@
     Attributes
     ----------
     latency : LatencyEstimate
-        Answer times of the service.
+        Response times of the service.
     reported_load : float
         Mean load that targets report, as a share of their slots.
     """
@@ -102,7 +104,7 @@
     def record_cancellation(
         self, attempt: Attempt, targets: Collection[TargetState], now: float
     ) -> None:
-        """Record that this daemon cancelled an attempt before its answer arrived."""
+        """Record that this daemon cancelled an attempt before its response arrived."""
         target = attempt.target
         elapsed = now - attempt.started
         if elapsed > SLOW_TARGET_FACTOR * self.latency.usual > 0:
@@ -113,13 +115,13 @@
             target.note_latency(elapsed, self.settings.latency_gain, now)
 
     def _record_success(self, target, elapsed, report, now):
-        was_out = bool(target.ejected_until)
+        was_ejected = bool(target.ejected_until)
         target.paused_until = 0.0
         target.refusals = 0
         target.note_latency(elapsed, self.settings.latency_gain, now)
         self.latency.note(elapsed)
         self.ejector.note_success(target, now)
-        if was_out:
+        if was_ejected:
             self.invalidate_usable()
             self.events.note(target.name, TargetCondition.RETURNED, by="answer")
         if report is not None:
@@ -131,18 +133,18 @@
         """Record the load that a target reports."""
         target.note_report(report, now)
         chooser = self.chooser
-        step = target.others_load - chooser.mean_others_load
-        chooser.mean_others_load += REPORTED_LOAD_GAIN * step
+        difference = target.others_load - chooser.mean_others_load
+        chooser.mean_others_load += REPORTED_LOAD_GAIN * difference
         load = report.in_use / target.record.slots
         self.reported_load += REPORTED_LOAD_GAIN * (load - self.reported_load)
 
     def _record_failure(self, target, elapsed, targets, now):
-        slow = self.latency.usual * self.settings.failure_latency_factor
-        target.note_latency(max(elapsed, slow), self.settings.latency_gain, now)
-        was_out = bool(target.ejected_until)
+        penalty = self.latency.usual * self.settings.failure_latency_factor
+        target.note_latency(max(elapsed, penalty), self.settings.latency_gain, now)
+        was_ejected = bool(target.ejected_until)
         self.ejector.note_failure(target, targets, now)
         self.invalidate_usable()
-        if target.ejected_until and not was_out:
+        if target.ejected_until and not was_ejected:
             self.events.note(
                 target.name,
                 TargetCondition.EJECTED,
--- a/packages/policy/src/cairnferry/policy/search/_searcher.py
+++ b/packages/policy/src/cairnferry/policy/search/_searcher.py
@@ -18,7 +18,7 @@
 
 # Longest and shortest pause in seconds of a request that waits for a permit which this
 # daemon already holds, and the largest number of pauses: other waiting requests may
-# use the permit first. A refused caller opens another connection and returns later
+# use the permit first. A refused caller opens another connection and retries later
 # than MAX_PAUSE_S.
 MAX_PAUSE_S = 0.1
 MIN_PAUSE_S = 0.005
@@ -51,7 +51,7 @@
     Attributes
     ----------
     cause : Cause
-        Reason.
+        Reason for giving up the request.
     capacity_at : float
         Time in seconds at which capacity becomes free; infinite if unknown.
     """
@@ -127,7 +127,7 @@
         wait = permitted_at - now
         may_pause = call.search.pauses < MAX_PAUSES and wait <= MAX_PAUSE_S
         if may_pause and permitted_at < _latest_start(call, self.work):
-            # A refused caller would return later than the permit becomes valid.
+            # A refused caller would retry later than the permit becomes valid.
             call.search.pauses += 1
             return Pause(max(wait, MIN_PAUSE_S))
         return NothingFound(Cause.TARGET_LIMIT, permitted_at)
--- a/packages/policy/src/cairnferry/policy/search/_targetset.py
+++ b/packages/policy/src/cairnferry/policy/search/_targetset.py
@@ -22,7 +22,7 @@
     EventLog,
     LatencyEstimate,
     LoadReport,
-    ReportTrust,
+    ReportWeighting,
     TargetAdvisory,
     TargetCondition,
     TargetState,
@@ -32,8 +32,8 @@
 
 # Seconds after the end of an ejection from which a successful probe returns a target.
 PROBE_RETURN_S = 5.0
-# Seconds for which the health that a status check reports is valid; the next status
-# check follows earlier.
+# Seconds for which the health that a status check reports is valid. The next status
+# check is made earlier than that.
 UNHEALTHY_S = 0.5
 
 
@@ -79,8 +79,8 @@
         self._chooser = Chooser(
             settings.strategy,
             rng,
-            ReportTrust(settings.report_weight, settings.report_decay_s),
-            settings.latency_memory_s,
+            ReportWeighting(settings.report_weight, settings.report_decay_s),
+            settings.latency_half_life_s,
             settings.ramp_s,
         )
         self.check_chooser = StatusCheckChooser(
@@ -100,7 +100,7 @@
 
     @property
     def latency(self) -> LatencyEstimate:
-        """Answer times of the service."""
+        """Response times of the service."""
         return self._results.latency
 
     @property
@@ -115,7 +115,7 @@
         return iter(self._states.values())
 
     def update(self, targets: list[Target], now: float) -> None:
-        """Apply the records in force; the state of known targets is kept."""
+        """Apply the current records; the state of known targets is kept."""
         known = self._states
         # A target that joins others ramps up slowly; the targets of a new service
         # get their full share at once.
@@ -203,20 +203,22 @@
         usable = self._admissible_for(call, now, urgent)
         if now >= self._all_checkable_at:
             return usable
-        answering_near = [
+        responsive_near = [
             target for target in usable.near if target.checks_suspended_until <= now
         ]
-        answering_far = [
+        responsive_far = [
             target for target in usable.far if target.checks_suspended_until <= now
         ]
-        if answering_near or answering_far:
-            return CandidateLists(answering_near, answering_far)
+        if responsive_near or responsive_far:
+            return CandidateLists(responsive_near, responsive_far)
         return usable
 
     def _admissible_for(self, call, now, urgent=True):
         """List the usable targets that may be sent a request now."""
-        left = self._untried_by(call, now)
-        return self._limited.filter_by_limit(left, urgent, now) if self.limits else left
+        lists = self._untried_by(call, now)
+        return (
+            self._limited.filter_by_limit(lists, urgent, now) if self.limits else lists
+        )
 
     def _untried_by(self, call, now):
         """List the usable targets that a request was not sent to."""
@@ -234,7 +236,7 @@
         return self._limited.next_permit(self._untried_by(call, now), urgent, now)
 
     def permits_to_request(
-        self, expected: int, barred: Container[str], now: float
+        self, expected: int, excluded: Container[str], now: float
     ) -> list[PermitRequest]:
         """Return the permits that are worth requesting.
 
@@ -242,7 +244,9 @@
         """
         usable = CandidateLists(*self._usable.lists(self._states, now))
         ejected = self._usable.ejected
-        return self._limited.permits_to_request(usable, ejected, expected, barred, now)
+        return self._limited.permits_to_request(
+            usable, ejected, expected, excluded, now
+        )
 
     def choose_for_trial(self, call: Call, now: float) -> TargetState | None:
         """Choose an ejected target that is due for a trial request, or None."""
@@ -280,7 +284,7 @@
         return Cause.EVACUATED if self.are_evacuated else Cause.NO_TARGET
 
     def most_are_healthy(self, now: float) -> bool:
-        """Return whether more than half of the targets have a good last result."""
+        """Return whether more than half of the targets are healthy."""
         healthy_count = sum(target.is_healthy(now) for target in self)
         return 2 * healthy_count > len(self)
 
@@ -293,7 +297,7 @@
         self._results.record_result(attempt, result, self, now)
 
     def record_cancellation(self, attempt: Attempt, now: float) -> None:
-        """Record that this daemon cancelled an attempt before its answer arrived."""
+        """Record that this daemon cancelled an attempt before its response arrived."""
         self._results.record_cancellation(attempt, self, now)
 
     def note_draining(self, identity: str, source: DrainSource, until: float) -> None:
@@ -304,12 +308,16 @@
             self._usable.invalidate()
 
     def note_advisory(
-        self, identity: str, advisory: TargetAdvisory, now: float, heard_by: str | None
+        self,
+        identity: str,
+        advisory: TargetAdvisory,
+        now: float,
+        request_id: str | None,
     ) -> None:
         """Record an advisory; see `ServiceState.note_advisory`."""
         target = self._states.get(identity)
         name = identity if target is None else target.name
-        self._advisories.record(identity, name, advisory, now, heard_by)
+        self._advisories.record(identity, name, advisory, now, request_id)
         if target is not None:
             self._advisories.restore(target)
             self._usable.invalidate()
@@ -317,14 +325,14 @@
     def note_check(
         self, identity: str, report: LoadReport | None, healthy: bool, now: float
     ) -> None:
-        """Record the answer to a status check; see `ServiceState.note_check`."""
+        """Record the response to a status check; see `ServiceState.note_check`."""
         target = self._states.get(identity)
         if target is None:
             return
         target.checked_at = now
         if report is None:
-            # By its last report the target would look idle.
-            self._note_silence(target, now)
+            # Judged by its last report, the target would seem idle.
+            self._record_missed_check(target, now)
             return
         if target.missed_checks:
             self.events.note(
@@ -343,12 +351,12 @@
             target.warm_at = warm_at
 
     def note_missed_check(self, identity: str, now: float) -> None:
-        """Record that a target did not answer a status check in time."""
+        """Record that a target did not respond to a status check in time."""
         target = self._states.get(identity)
         if target is not None:
-            self._note_silence(target, now)
+            self._record_missed_check(target, now)
 
-    def _note_silence(self, target, now):
+    def _record_missed_check(self, target, now):
         target.note_missed_check(now)
         self._all_checkable_at = max(
             self._all_checkable_at, target.checks_suspended_until
@@ -380,7 +388,7 @@
         return [self._snapshot_of(target, now) for target in self]
 
     def _snapshot_of(self, target, now):
-        load = target.load(now, self._chooser.trust, self._chooser.mean_others_load)
+        load = target.load(now, self._chooser.weighting, self._chooser.mean_others_load)
         return {
             "name": target.name,
             "zone": target.record.zone,
--- a/packages/policy/src/cairnferry/policy/shared/_advisories.py
+++ b/packages/policy/src/cairnferry/policy/shared/_advisories.py
@@ -6,7 +6,7 @@
 
 # Seconds for which an entry is kept after its target was last listed. The target's row
 # may be missing for as long as the platform's store is unavailable.
-UNLISTED_RETENTION_S = 3600.0
+ADVISORY_RETENTION_S = 3600.0
 
 
 @attrs.define
@@ -21,7 +21,7 @@
     _unlisted_since: dict[str, float] = attrs.field(factory=dict)
 
     def note(self, identity: str, until: float) -> bool:
-        """Extend an entry to a time in seconds; return whether that is later.
+        """Extend an entry to a time in seconds; return whether it was earlier.
 
         A later advisory for a shorter time does not shorten an earlier one.
         """
@@ -40,19 +40,19 @@
 
     def pop_expired(self, now: float) -> list[str]:
         """Remove expired entries, and return their targets."""
-        ended = [name for name, until in self._until.items() if until <= now]
-        for name in ended:
+        expired = [name for name, until in self._until.items() if until <= now]
+        for name in expired:
             del self._until[name]
-        return ended
+        return expired
 
     def forget_unlisted(self, listed: set[str], now: float) -> None:
-        """Remove targets that have not been listed for `UNLISTED_RETENTION_S`."""
+        """Remove targets that have not been listed for `ADVISORY_RETENTION_S`."""
         since = self._unlisted_since
         self._unlisted_since = {
             name: since.get(name, now) for name in self._until if name not in listed
         }
         for name, at in self._unlisted_since.items():
-            if now - at > UNLISTED_RETENTION_S:
+            if now - at > ADVISORY_RETENTION_S:
                 del self._until[name]
 
 
@@ -63,9 +63,10 @@
     Attributes
     ----------
     back_offs : ExpiryRegistry
-        Targets that requested a back-off, until when.
+        Targets that requested a back-off, with the time at which it ends.
     leaving : ExpiryRegistry
-        Targets that announced that they are leaving, until when that is valid.
+        Targets that announced that they are leaving, with the time at which the
+        announcement expires.
     """
 
     back_offs: ExpiryRegistry = attrs.field(factory=ExpiryRegistry)
--- a/packages/policy/src/cairnferry/policy/shared/_blocks.py
+++ b/packages/policy/src/cairnferry/policy/shared/_blocks.py
@@ -72,8 +72,8 @@
     @property
     def next_trial(self) -> float:
         """Time in seconds from which the next trial may be made."""
-        pauses = (FIRST_TRIAL_S * TRIAL_FACTOR**n for n in range(self.trials + 1))
-        return self.at + sum(min(MAX_TRIAL_S, pause) for pause in pauses)
+        delays = (FIRST_TRIAL_S * TRIAL_FACTOR**n for n in range(self.trials + 1))
+        return self.at + sum(min(MAX_TRIAL_S, delay) for delay in delays)
 
     def is_in_effect(self, now: float) -> bool:
         """Return whether the block is in effect."""
@@ -158,8 +158,8 @@
     later, so daemons that receive reports in another order would decide differently.
     """
     found = [_runs_around(middle, crashes) for middle in crashes]
-    proofs = [runs for runs in found if runs]
-    return max(proofs, key=lambda runs: runs[0].started, default=[])
+    complete = [runs for runs in found if runs]
+    return max(complete, key=lambda runs: runs[0].started, default=[])
 
 
 def _runs_around(middle, crashes):
--- a/packages/policy/src/cairnferry/policy/shared/_cold.py
+++ b/packages/policy/src/cairnferry/policy/shared/_cold.py
@@ -83,7 +83,7 @@
         return known is None
 
     def note_row(self, identity: str, until: float, per_s: float, now: float) -> bool:
-        """Record the period in a target's row, each value only once; as `receive`."""
+        """Record the period in a target's row, each value once; return as `receive`."""
         if until <= now or self._rows.get(identity) == until:
             return False
         self._rows[identity] = until
--- a/packages/policy/src/cairnferry/policy/shared/_identity.py
+++ b/packages/policy/src/cairnferry/policy/shared/_identity.py
@@ -6,7 +6,7 @@
 
 # Bytes of the digests of a request's head and of its body. Two requests of one day with
 # the same 16 bytes would share the evidence about one of them. With 8 and 8 bytes, such
-# a collision takes some 2**64 different requests.
+# a collision takes about 2**64 different requests.
 HEAD_BYTES = 8
 BODY_BYTES = 8
 # Bytes of the digest of a caller, which only has to distinguish the callers of one
--- a/packages/policy/src/cairnferry/policy/shared/_limits.py
+++ b/packages/policy/src/cairnferry/policy/shared/_limits.py
@@ -17,11 +17,11 @@
 # Requests per second that are sent at any lower limit. A target that receives no
 # requests sends no responses, so the end of its limit would never be observed.
 MIN_RATE_PER_S = 0.1
-# Maximum number of limits kept, including those of targets not yet known here.
-MAX_KEPT = 4096
+# Maximum number of limits kept, including those of targets that are not listed yet.
+MAX_KEPT_LIMITS = 4096
 # Seconds for which the limit of an unlisted target is kept, as a report by another
 # daemon may arrive before the target's row.
-UNLISTED_S = 60.0
+LIMIT_RETENTION_S = 60.0
 
 
 @attrs.frozen
@@ -33,7 +33,7 @@
     per_s : float
         Requests per second that the target accepts; `NO_LIMIT` if it advertises none.
     at : float
-        Time in seconds from which the limit counts.
+        Time in seconds from which the limit applies.
     """
 
     per_s: float
@@ -44,17 +44,17 @@
 class LimitRegistry:
     """Registry of the latest limit of each target; reports may arrive in any order.
 
-    A limit counts from the time its response was received. The end of a limit counts
-    from the time the request was sent, as its response may have been created before a
-    limit that was received in the meantime.
+    A limit applies from the time at which its response was received. The end of a limit
+    applies from the time at which the request was sent, as its response may have been
+    created before a limit that was received in the meantime.
     """
 
     _latest: dict[str, AdvertisedLimit] = attrs.field(factory=dict)
-    _in_force: dict[str, float] = attrs.field(factory=dict)
+    _in_effect: dict[str, float] = attrs.field(factory=dict)
 
     def __len__(self):
         """Return the number of limits in effect."""
-        return len(self._in_force)
+        return len(self._in_effect)
 
     @property
     def is_empty(self) -> bool:
@@ -81,7 +81,7 @@
                 return False
             return self._set(identity, AdvertisedLimit(NO_LIMIT, sent))
         if known is not None and sent <= known.at:
-            # The target may have created either one last. The lower one is safe.
+            # The target may have created either limit last. The lower one is safe.
             per_s = min(per_s, known.per_s)
         return self._set(identity, AdvertisedLimit(per_s, received))
 
@@ -95,12 +95,12 @@
     def _set(self, identity, limit):
         before = self.get(identity).per_s
         self._latest[identity] = limit
-        while len(self._latest) > MAX_KEPT:
-            self._forget(next(iter(self._latest)))
+        while len(self._latest) > MAX_KEPT_LIMITS:
+            self._drop(next(iter(self._latest)))
         if limit.per_s == NO_LIMIT:
-            self._in_force.pop(identity, None)
+            self._in_effect.pop(identity, None)
         else:
-            self._in_force[identity] = max(MIN_RATE_PER_S, limit.per_s)
+            self._in_effect[identity] = max(MIN_RATE_PER_S, limit.per_s)
         return limit.per_s != before
 
     def get(self, identity: str) -> AdvertisedLimit:
@@ -109,27 +109,27 @@
 
     def rate(self, identity: str) -> float | None:
         """Return the total requests per second for a target; None if unlimited."""
-        return self._in_force.get(identity)
+        return self._in_effect.get(identity)
 
     def in_force(self) -> dict[str, AdvertisedLimit]:
         """Return the limits in effect, by target identity."""
-        return {identity: self._latest[identity] for identity in self._in_force}
+        return {identity: self._latest[identity] for identity in self._in_effect}
 
     def forget_unlisted(self, listed: set[str], now: float) -> list[str]:
         """Drop the limits of unlisted targets; return those that were in effect."""
-        gone = [
+        unlisted = [
             identity
             for identity, limit in self._latest.items()
-            if identity not in listed and limit.at < now - UNLISTED_S
+            if identity not in listed and limit.at < now - LIMIT_RETENTION_S
         ]
-        limited = [identity for identity in gone if identity in self._in_force]
-        for identity in gone:
-            self._forget(identity)
+        limited = [identity for identity in unlisted if identity in self._in_effect]
+        for identity in unlisted:
+            self._drop(identity)
         return limited
 
-    def _forget(self, identity):
+    def _drop(self, identity):
         del self._latest[identity]
-        self._in_force.pop(identity, None)
+        self._in_effect.pop(identity, None)
 
 
 _NOT_ADVERTISED = AdvertisedLimit(NO_LIMIT, -math.inf)
--- a/packages/policy/src/cairnferry/policy/shared/_permits.py
+++ b/packages/policy/src/cairnferry/policy/shared/_permits.py
@@ -15,8 +15,8 @@
 # to a peer in another zone, and a fraction of the time in which limits may change.
 ISSUE_AHEAD_S = 0.5
 # Seconds for which a permit may be used. Most of 300 daemons get a request for a
-# service in that time. A window of 4 s can thus contain the permits of a fifth more
-# time.
+# service in that time. As a permit stays valid that long, a window of 4 s can contain
+# the permits of a period that is longer by a fifth.
 PERMIT_LIFETIME_S = 1.0
 # Seconds for which a new permit issuer issues none. Permits of the previous issuer may
 # still be used, and would add to those of the new one.
@@ -62,10 +62,10 @@
 
     @classmethod
     def begin(
-        cls, now: float, rng: random.Random, hold_s: float = ISSUER_HOLD_OFF_S
+        cls, now: float, rng: random.Random, hold_off_s: float = ISSUER_HOLD_OFF_S
     ) -> "PermitSchedule":
-        """Return a schedule that issues permits after `hold_s` seconds."""
-        return cls(now + hold_s, rng)
+        """Return a schedule that issues permits after `hold_off_s` seconds."""
+        return cls(now + hold_off_s, rng)
 
     def grant(
         self, requester: str, rate: float, requested: int, now: float
@@ -89,14 +89,15 @@
             The permits issued, and the delay until the next request.
         """
         requesters = self._count_requesters(requester, now)
-        # Permits that nobody requested expire, except the latest one, which the current
-        # requester gets at once.
+        # Permits that no daemon requested expire, except the latest one, which the
+        # current requester gets at once.
         self.next_at = max(self.next_at, now - 1 / rate)
         # A daemon that requests many permits leaves some to the other requesters.
-        most = max(1, int(rate * ISSUE_AHEAD_S / requesters))
+        max_count = max(1, int(rate * ISSUE_AHEAD_S / requesters))
         delays = []
         while (
-            len(delays) < min(requested, most) and self.next_at <= now + ISSUE_AHEAD_S
+            len(delays) < min(requested, max_count)
+            and self.next_at <= now + ISSUE_AHEAD_S
         ):
             delays.append(max(0.0, self.next_at - now))
             self.next_at += 1 / rate
@@ -123,5 +124,5 @@
         self.next_at -= count / rate
 
     def restart(self, rate: float, now: float) -> None:
-        """Continue at another rate; permits issued before are void."""
+        """Continue at another rate; permits issued earlier are void."""
         self.next_at = now + 1 / rate
--- a/packages/policy/src/cairnferry/policy/shared/_quarantine.py
+++ b/packages/policy/src/cairnferry/policy/shared/_quarantine.py
@@ -1,9 +1,10 @@
 """Quarantine of requests that crash the targets that run them (queries of death).
 
 One such request, retried by daemons and callers, crashes target after target. A single
-crash proves little, as a target runs many requests at once. A request is blocked on
-evidence that only a query of death produces: after a crash it runs again on a healthy
-target, which crashes too, and then on a third one, and it never gets a response.
+crash proves little, as a target runs many requests concurrently. A request is blocked
+on evidence that only a query of death produces: after a crash it runs again on a
+healthy target, which crashes too, and then on a third one, and it never gets a
+response.
 
 All times are monotonic seconds of one clock.
 """
@@ -44,7 +45,7 @@
 # Maximum number of requests with evidence, and of crashes and responses kept for each.
 # They bound the memory that a flood of requests that crash targets takes on an instance
 # to 6.6 MB (tracemalloc, all of them full).
-MAX_CASES = 1024
+MAX_REQUESTS = 1024
 MAX_CRASHES = 24
 MAX_ANSWERS = 24
 # Retry delay in seconds for a request that is refused as an equal one is running.
@@ -54,7 +55,7 @@
 
 
 @attrs.define
-class _Case:
+class _RequestEvidence:
     """Evidence about one request, and its blocks by scope."""
 
     crashes: list[TargetCrash] = attrs.field(factory=list)
@@ -73,7 +74,7 @@
             return []
         return sequential_runs(crashes)
 
-    def proof(self, scope):
+    def blocking_runs(self, scope):
         """Return crashes that justify a block for a scope, or an empty list."""
         if scope == ALL_CALLERS:
             return sequential_runs_of_callers(self._crashes_since_answers())
@@ -99,7 +100,9 @@
         """
         if scope == ALL_CALLERS:
             return max(self.answers.values(), default=-math.inf)
-        return max(self.answers.get(who, -math.inf) for who in (ALL_CALLERS, scope))
+        return max(
+            self.answers.get(caller, -math.inf) for caller in (ALL_CALLERS, scope)
+        )
 
     def drop_expired(self, now):
         self.crashes = [
@@ -116,48 +119,48 @@
     """
 
     def __init__(self):
-        self._cases: OrderedDict[str, _Case] = OrderedDict()
+        self._evidence: OrderedDict[str, _RequestEvidence] = OrderedDict()
         self._heads: dict[str, int] = {}
 
     def __len__(self):
-        return len(self._cases)
+        return len(self._evidence)
 
     # -- requests ----------------------------------------------------------------
 
     def check(self, identity: RequestIdentity, now: float) -> Verdict:
         """Return the verdict on a request that is about to be sent to a target."""
-        case = self._case_of(identity)
-        if case is None:
+        evidence = self._evidence_on(identity)
+        if evidence is None:
             return UNRESTRICTED
-        case.drop_expired(now)
+        evidence.drop_expired(now)
         caller = identity.caller_tag
-        found = case.block_for(caller)
+        found = evidence.block_for(caller)
         if found is not None:
             scope, block = found
-            left = max(0.0, block.next_trial - now)
-            return Quarantined(BlockRef(identity.content, scope), block, left)
-        runs = max(len(case.runs(scope)) for scope in (ALL_CALLERS, caller))
+            retry_after = max(0.0, block.next_trial - now)
+            return Quarantined(BlockRef(identity.content, scope), block, retry_after)
+        runs = max(len(evidence.runs(scope)) for scope in (ALL_CALLERS, caller))
         return Suspect(runs >= CRASHES_TO_ISOLATE) if runs else UNRESTRICTED
 
     def begin(self, identity: RequestIdentity) -> bool:
         """Record that a suspect request runs; return whether no equal one does."""
-        case = self._case_of(identity)
-        if case is None:
+        evidence = self._evidence_on(identity)
+        if evidence is None:
             return True
-        case.running += 1
-        return case.running == 1
+        evidence.running += 1
+        return evidence.running == 1
 
     def finish(self, identity: RequestIdentity) -> None:
         """Record that a suspect request no longer runs."""
-        case = self._case_of(identity)
-        if case is not None and case.running:
-            case.running -= 1
+        evidence = self._evidence_on(identity)
+        if evidence is not None and evidence.running:
+            evidence.running -= 1
 
-    def _case_of(self, identity):
+    def _evidence_on(self, identity):
         # The body is hashed only if the digest of the head matches a known request.
-        if not self._cases or identity.head not in self._heads:
+        if not self._evidence or identity.head not in self._heads:
             return None
-        return self._cases.get(identity.content)
+        return self._evidence.get(identity.content)
 
     # -- evidence and blocks -------------------------------------------------------
 
@@ -179,42 +182,42 @@
             False if the crash is known, or if its run began before a response that
             clears the caller.
         """
-        case = self._cases.get(content) or self._open_case(content)
-        if crash.started < case.answered_at(crash.caller):
+        evidence = self._evidence.get(content) or self._add_evidence(content)
+        if crash.started < evidence.answered_at(crash.caller):
             return False
-        if any(crash.is_same(other) for other in case.crashes):
+        if any(crash.is_same(other) for other in evidence.crashes):
             return False
-        case.crashes.append(crash)
-        del case.crashes[:-MAX_CRASHES]
-        case.drop_expired(now)
-        self._cases.move_to_end(content)
+        evidence.crashes.append(crash)
+        del evidence.crashes[:-MAX_CRASHES]
+        evidence.drop_expired(now)
+        self._evidence.move_to_end(content)
         return True
 
     def block_if_proven(self, content: str, now: float) -> list[tuple[BlockRef, Block]]:
         """Set the blocks that the crashes of a request justify; return the new ones.
 
-        All justified blocks are set at once. A block that was left for the next crash
-        would be missing on a daemon that receives no further report.
+        All justified blocks are set together. A block that was deferred to the next
+        crash would be missing on a daemon that receives no further report.
         """
-        case = self._cases.get(content)
-        if case is None or ALL_CALLERS in case.blocks:
+        evidence = self._evidence.get(content)
+        if evidence is None or ALL_CALLERS in evidence.blocks:
             return []
-        case.drop_expired(now)
-        callers = {crash.caller for crash in case.crashes} - case.blocks.keys()
+        evidence.drop_expired(now)
+        callers = {crash.caller for crash in evidence.crashes} - evidence.blocks.keys()
         blocks_set = []
         for scope in (ALL_CALLERS, *sorted(callers)):
-            runs = case.proof(scope)
+            runs = evidence.blocking_runs(scope)
             block = runs and Block(runs[-1].ended, runs[0].started)
             if block and self.apply_block(content, scope, block):
                 blocks_set.append((BlockRef(content, scope), block))
-            if ALL_CALLERS in case.blocks:
+            if ALL_CALLERS in evidence.blocks:
                 break
         return blocks_set
 
     def is_suspected(self, identity: RequestIdentity) -> bool:
         """Return whether there is evidence against a request."""
-        case = self._case_of(identity)
-        return case is not None and bool(case.crashes or case.blocks)
+        evidence = self._evidence_on(identity)
+        return evidence is not None and bool(evidence.crashes or evidence.blocks)
 
     def clear(self, content: str, caller: str, at: float) -> list[BlockRef]:
         """Drop evidence from before a response; return the blocks that are lifted.
@@ -235,20 +238,24 @@
         """
         # Reports arrive in any order, so a response is also recorded for a request
         # without known crashes.
-        case = self._cases.get(content) or self._open_case(content)
-        at = max(at, case.answers.pop(caller, at))
-        case.answers[caller] = at
-        while len(case.answers) > MAX_ANSWERS:
-            del case.answers[next(iter(case.answers))]
-        case.crashes = [
+        evidence = self._evidence.get(content) or self._add_evidence(content)
+        at = max(at, evidence.answers.pop(caller, at))
+        evidence.answers[caller] = at
+        while len(evidence.answers) > MAX_ANSWERS:
+            del evidence.answers[next(iter(evidence.answers))]
+        evidence.crashes = [
             crash
-            for crash in case.crashes
+            for crash in evidence.crashes
             if crash.started >= at or caller not in (ALL_CALLERS, crash.caller)
         ]
-        scopes = list(case.blocks) if caller == ALL_CALLERS else [ALL_CALLERS, caller]
-        lifted = [s for s in scopes if s in case.blocks and case.blocks[s].since < at]
+        scopes = (
+            list(evidence.blocks) if caller == ALL_CALLERS else [ALL_CALLERS, caller]
+        )
+        lifted = [
+            s for s in scopes if s in evidence.blocks and evidence.blocks[s].since < at
+        ]
         for scope in lifted:
-            del case.blocks[scope]
+            del evidence.blocks[scope]
         return [BlockRef(content, scope) for scope in lifted]
 
     def apply_block(self, content: str, scope: str, block: Block) -> bool:
@@ -257,58 +264,58 @@
         A block with more trials replaces one with fewer, as the daemon that made the
         last trial has the latest evidence.
         """
-        case = self._cases.get(content) or self._open_case(content)
+        evidence = self._evidence.get(content) or self._add_evidence(content)
         # A run that began at the time of the response counts as later, as in `runs`.
-        if case.answered_at(scope) > block.since:
+        if evidence.answered_at(scope) > block.since:
             return False
-        known = case.blocks.get(scope)
+        known = evidence.blocks.get(scope)
         if known is not None and known.trials >= block.trials:
             return False
         if scope == ALL_CALLERS:
-            case.blocks.clear()
-        case.blocks[scope] = block
-        self._cases.move_to_end(content)
+            evidence.blocks.clear()
+        evidence.blocks[scope] = block
+        self._evidence.move_to_end(content)
         return True
 
     def block(self, ref: BlockRef) -> Block | None:
         """Return a block; None if it is not set."""
-        case = self._cases.get(ref.content)
-        return case and case.blocks.get(ref.scope)
+        evidence = self._evidence.get(ref.content)
+        return evidence and evidence.blocks.get(ref.scope)
 
     def is_block_over(self, ref: BlockRef, block: Block, now: float) -> bool:
         """Return whether a block has expired or a later response lifted it."""
-        case = self._cases.get(ref.content)
-        answered = case.answered_at(ref.scope) if case else -math.inf
-        return answered > block.since or not block.is_in_effect(now)
+        evidence = self._evidence.get(ref.content)
+        answered_at = evidence.answered_at(ref.scope) if evidence else -math.inf
+        return answered_at > block.since or not block.is_in_effect(now)
 
     def blocks(self, now: float) -> dict[BlockRef, Block]:
         """Return all blocks in effect."""
         return {
             BlockRef(content, scope): block
-            for content, case in self._cases.items()
-            for scope, block in case.blocks.items()
+            for content, evidence in self._evidence.items()
+            for scope, block in evidence.blocks.items()
             if block.is_in_effect(now)
         }
 
     # -- bounds --------------------------------------------------------------------
 
-    def _open_case(self, content):
-        while len(self._cases) >= MAX_CASES:
-            self._drop(self._case_to_evict())
-        self._cases[content] = case = _Case()
+    def _add_evidence(self, content):
+        while len(self._evidence) >= MAX_REQUESTS:
+            self._drop(self._content_to_evict())
+        self._evidence[content] = evidence = _RequestEvidence()
         head = head_digest(content)
         self._heads[head] = self._heads.get(head, 0) + 1
-        return case
+        return evidence
 
-    def _case_to_evict(self):
+    def _content_to_evict(self):
         """Return the least recently changed request, preferably one without a block."""
-        for content, case in self._cases.items():
-            if not case.blocks:
+        for content, evidence in self._evidence.items():
+            if not evidence.blocks:
                 return content
-        return next(iter(self._cases))
+        return next(iter(self._evidence))
 
     def _drop(self, content):
-        del self._cases[content]
+        del self._evidence[content]
         head = head_digest(content)
         self._heads[head] -= 1
         if not self._heads[head]:
@@ -316,10 +323,17 @@
 
     def drop_expired(self, now: float) -> None:
         """Drop expired evidence and blocks, and requests that have none left."""
-        for content, case in list(self._cases.items()):
-            case.drop_expired(now)
-            case.answers = {
-                c: t for c, t in case.answers.items() if now - t < EVIDENCE_RETENTION_S
+        for content, evidence in list(self._evidence.items()):
+            evidence.drop_expired(now)
+            evidence.answers = {
+                c: t
+                for c, t in evidence.answers.items()
+                if now - t < EVIDENCE_RETENTION_S
             }
-            if not (case.crashes or case.blocks or case.answers or case.running):
+            if not (
+                evidence.crashes
+                or evidence.blocks
+                or evidence.answers
+                or evidence.running
+            ):
                 self._drop(content)
--- a/packages/policy/src/cairnferry/policy/shared/_target_limits.py
+++ b/packages/policy/src/cairnferry/policy/shared/_target_limits.py
@@ -14,8 +14,8 @@
 from cairnferry.records import Target
 
 # Seconds for which a permit is reserved for urgent requests if all targets have limits;
-# after that any request may use it. A daemon gets some 10 requests per second, about
-# one within this time.
+# after that any request may use it. A daemon gets about 10 requests per second, so
+# about one within this time.
 URGENT_RESERVED_S = 0.1
 # One of this many permits is open to any request from the start, so that less urgent
 # requests are served even if urgent ones could use every permit.
@@ -57,7 +57,7 @@
         first = self.start if urgent else max(self.start, self.open_at)
         return max(first, now) if now < self.end else math.inf
 
-    def fits(self, urgent: bool, now: float) -> bool:
+    def is_usable(self, urgent: bool, now: float) -> bool:
         """Return whether a request may use it now."""
         return self.first_use(urgent, now) <= now
 
@@ -123,7 +123,7 @@
     def has_permit(self, identity: str, now: float, urgent: bool = True) -> bool:
         """Return whether there is a permit that a request may use now."""
         held = self._permits.get(identity, ())
-        return any(permit.fits(urgent, now) for permit in held)
+        return any(permit.is_usable(urgent, now) for permit in held)
 
     def spend(self, identity: str, urgent: bool, now: float) -> None:
         """Use a permit for a request that is sent; do nothing if there is no limit.
@@ -135,7 +135,7 @@
             return
         self.sent[identity] = self.sent.get(identity, 0) + 1
         held = self._permits.get(identity, ())
-        usable = [permit for permit in held if permit.fits(True, now)]
+        usable = [permit for permit in held if permit.is_usable(True, now)]
         if usable:
             choose = max if urgent else min
             held.remove(choose(usable, key=lambda permit: permit.open_at))
@@ -163,7 +163,7 @@
         self._permits.pop(identity, None)
 
     def pop_expired(self, now: float) -> dict[str, int]:
-        """Drop expired permits; return their numbers by target."""
+        """Drop expired permits; return the number dropped by target."""
         expired = {}
         for identity, held in list(self._permits.items()):
             kept = deque(permit for permit in held if now < permit.end)
--- a/packages/policy/src/cairnferry/policy/targets/__init__.py
+++ b/packages/policy/src/cairnferry/policy/targets/__init__.py
@@ -12,7 +12,7 @@
 from cairnferry.policy.targets._target import (
     SLOW_TARGET_FACTOR,
     DrainSource,
-    ReportTrust,
+    ReportWeighting,
     TargetState,
 )
 
@@ -25,7 +25,7 @@
     "LatencyEstimate",
     "LoadReport",
     "NO_ADVISORY",
-    "ReportTrust",
+    "ReportWeighting",
     "TargetEvent",
     "TargetState",
     "TargetAdvisory",
--- a/packages/policy/src/cairnferry/policy/targets/_advisory.py
+++ b/packages/policy/src/cairnferry/policy/targets/_advisory.py
@@ -28,7 +28,7 @@
         if it requests no back-off.
     leaving_s : float
         Seconds for which the announcement that the target is leaving is valid; 0 if
-        there is none. It is infinite if each start of a target has its own identity.
+        there is none. It is infinite if each run of a target has its own identity.
     faults : tuple of AdvisoryFault
         Malformed headers.
     """
--- a/packages/policy/src/cairnferry/policy/targets/_ejection.py
+++ b/packages/policy/src/cairnferry/policy/targets/_ejection.py
@@ -1,7 +1,7 @@
 """Ejection of failing targets, and their return.
 
-A target that fails its requests at once seems idle: it responds fast and occupies no
-slots. Balancing by load alone would send it most of the traffic.
+A target that fails its requests immediately seems idle: it responds fast and occupies
+no slots. Balancing by load alone would send it most of the traffic.
 """
 
 from collections.abc import Iterable
@@ -21,7 +21,7 @@
         Number of consecutive failures after which a target is ejected.
     base, longest : float
         Seconds from the first ejection until a trial, doubled with each further
-        ejection or failed trial, and their maximum.
+        ejection or failed trial, and the maximum of this time.
     share : float
         Maximum share of targets that are ejected, 0 to 1.
     trial_timeout : float
--- a/packages/policy/src/cairnferry/policy/targets/_target.py
+++ b/packages/policy/src/cairnferry/policy/targets/_target.py
@@ -15,7 +15,7 @@
 # Weight of a new response time that is slower than the estimate by this factor, 0 to 1.
 SLOW_GAIN = 0.7
 # Seconds for which a target gets no status checks after it missed one, and how often
-# that is doubled. Each request that checks such a target waits 30 ms for nothing.
+# that is doubled. Each request that checks such a target waits 30 ms in vain.
 CHECK_SUSPENSION_S = 0.3
 MAX_SUSPENSION_DOUBLINGS = 3
 
@@ -31,13 +31,13 @@
 
 
 @attrs.frozen
-class ReportTrust:
+class ReportWeighting:
     """Weight of a target's load report in the estimate of its load.
 
     Attributes
     ----------
     weight : float
-        Weight of a new report against the usual load, 0 to 1.
+        Weight of a new report against the mean load, 0 to 1.
     decay : float
         Age of a report in seconds at which its weight has fallen to 1/e.
     """
@@ -55,7 +55,7 @@
     record : Target
         Record of the target.
     identity : str
-        Identity of this start of the target.
+        Identity of one run of the target's process.
     in_flight : int
         Requests of this daemon that have no result yet.
     starts : deque of float
@@ -150,30 +150,32 @@
         """Return whether the last result was good and the target is not draining."""
         return not self.failures and not self.refusals and not self.is_draining(now)
 
-    def load(self, now: float, trust: ReportTrust, mean_others_load: float) -> float:
+    def load(
+        self, now: float, weighting: ReportWeighting, mean_others_load: float
+    ) -> float:
         """Return an estimate of the requests at the target, as a share of its slots.
 
         Parameters
         ----------
         now : float
             Time in seconds.
-        trust : ReportTrust
+        weighting : ReportWeighting
             Weight of load reports.
         mean_others_load : float
             Mean share of a target's slots that other daemons use.
 
         Notes
         -----
-        The requests of this daemon are known. Those of other daemons are known from the
-        last report; as the report ages, the estimate approaches the usual share. If it
-        approached zero instead, the targets with the oldest reports would seem idle,
-        and all daemons would send their requests there.
+        The requests of this daemon are known exactly. Those of other daemons are known
+        from the last report; as the report ages, the estimate approaches the mean
+        share. If it approached zero instead, the targets with the oldest reports would
+        seem idle, and all daemons would send their requests there.
         """
-        weight = trust.weight * math.exp((self.reported_at - now) / trust.decay)
+        weight = weighting.weight * math.exp((self.reported_at - now) / weighting.decay)
         others = mean_others_load + (self.others_load - mean_others_load) * weight
         return self.in_flight / self.record.slots + others
 
-    def slowness(self, now: float, usual: float, memory: float) -> float:
+    def slowness(self, now: float, usual: float, half_life: float) -> float:
         """Return an estimate of the response time, as a multiple of the usual one.
 
         Parameters
@@ -182,7 +184,7 @@
             Time in seconds.
         usual : float
             Response time of the service in seconds; 0 if unknown.
-        memory : float
+        half_life : float
             Half-life in seconds of the excess over the usual response time.
 
         Returns
@@ -198,14 +200,14 @@
         """
         if not usual:
             return 1.0
-        slow = self.latency / usual
-        if slow > SLOW_TARGET_FACTOR:
+        ratio = self.latency / usual
+        if ratio > SLOW_TARGET_FACTOR:
             # A slow target gets few requests, so its estimate would never change. It
             # decays towards the usual value, so that the target is tried again.
-            slow = 1 + (slow - 1) * 0.5 ** ((now - self.latency_at) / memory)
+            ratio = 1 + (ratio - 1) * 0.5 ** ((now - self.latency_at) / half_life)
         if self.starts:
-            slow = max(slow, (now - self.starts[0]) / usual)
-        return slow if slow > SLOW_TARGET_FACTOR else 1.0
+            ratio = max(ratio, (now - self.starts[0]) / usual)
+        return ratio if ratio > SLOW_TARGET_FACTOR else 1.0
 
     def note_sent(self, now: float) -> None:
         """Record that a request is sent."""
@@ -232,7 +234,8 @@
     def note_report(self, report: LoadReport, now: float) -> None:
         """Record a report that came with a response.
 
-        The request of that response no longer counts, here or in the report.
+        The request of that response is no longer counted, neither in `in_flight` nor in
+        the report.
         """
         others = max(0.0, report.in_use - self.in_flight)
         self.others_load = others / self.record.slots
@@ -253,7 +256,7 @@
         self.checks_suspended_until = now + pause
 
     def expected_in_use(self) -> float:
-        """Return the requests at the last report plus those sent since."""
+        """Return the number of requests at the last report plus those sent since."""
         since = 0
         for started in reversed(self.starts):
             if started < self.reported_at:
